--- a/include/arrowstile/actions.hpp
+++ b/include/arrowstile/actions.hpp
@@ -1,3 +1,9 @@
+/// \file
+/// Actions: everything that the decision engine asks for. DecisionEngine::handle returns them, and the caller
+/// carries them out in that order. What comes of them is passed back as events (see events.hpp).
+///
+/// Each API call gets one final answer. It is proxied, which is the answered try itself, or rate-limited
+/// (AnswerRateLimited), or errored (AnswerErrored).
 #pragma once
 
 #include <arrowstile/ids.hpp>
@@ -9,64 +15,76 @@
 
 namespace arrowstile {
 
+/// Sends the call to a worker. Ends with TryEnded.
 struct SendTry {
     CallId call;
     WorkerId worker;
-    Span notPast{};  ///< clock time at which this upstream try is given up
+    Timestamp deadline{};  ///< without a reply by then, the try ends as timed out
 };
 
-/// Final answer: rate-limited, which tells the client that a new try does no harm.
-struct RateLimit {
+/// Final answer: rate-limited. Guarantees to the client that repeating the call does no harm.
+struct AnswerRateLimited {
     CallId call;
-    std::optional<Span> retryAfter;
+    std::optional<Duration> retryAfter;  ///< how long the client should wait before it retries
 };
 
-/// Final answer: errored, which promises nothing.
-struct GiveError {
+/// Final answer: errored. Promises nothing: the call may have run or not.
+struct AnswerErrored {
     CallId call;
 };
 
-struct CallOffTry {
+/// Gives up a try that is out. It ends as `cancelled`, and the worker may still run the call.
+struct CancelTry {
     CallId call;
-    TryNumber attempt;
+    TryNumber tryNumber;
 };
 
+/// Requests TimerFired with this token at the given time.
 struct SetTimer {
-    Span due{};
+    Timestamp due{};
     TimerToken token;
 };
 
+/// Asks a worker for its load, or whether it replies at all. Ends with ProbeEnded. Not produced by the
+/// current engine.
 struct ProbeWorker {
     WorkerId worker;
 };
 
-struct CloseIdle {
+/// Closes all idle connections to a worker. Not produced by the current engine.
+struct CloseIdleConnections {
     WorkerId worker;
 };
 
-struct TellPeers {
-    std::optional<GatewayRank> peer;  ///< none: every peer
+/// Sends a message to other gateways, without any guarantee of delivery. Not produced by the current engine.
+struct SendPeerMessage {
+    std::optional<GatewayIndex> peer;  ///< index into the daemon's list of peers; nullopt: all peers
     std::vector<std::byte> bytes;
 };
 
-struct AddCount {
+/// Adds to a count on the counter service, and reads its total. Ends with AddToCountEnded.
+struct AddToCount {
     CountName name;
-    double amount = 0;
-    Span keep{};  ///< how long the name lives, if this call makes it
-    Span wait{};  ///< for its answer, where the counter leaves that to its callers
+    double amount = 0;    ///< may be negative; 0 only reads the total
+    Duration lifetime{};  ///< after which the counter deletes the count, if this request creates it
+    Duration timeout{};   ///< for the reply; ignored by adapters whose counter has a timeout of its own
 };
 
-struct FollowList {
-    bool on = true;
+/// Starts or stops watching discovery's list of workers. Not produced by the current engine.
+struct WatchWorkerList {
+    bool enabled = true;
 };
 
-struct FetchList {};
+/// Fetches the whole list of workers from discovery. Not produced by the current engine.
+struct FetchWorkerList {};
 
-struct Note {
+/// Writes a line to the log. Not produced by the current engine.
+struct WriteLog {
     std::string text;
 };
 
-using Action = std::variant<SendTry, RateLimit, GiveError, CallOffTry, SetTimer, ProbeWorker, CloseIdle,
-                            TellPeers, AddCount, FollowList, FetchList, Note>;
+using Action = std::variant<SendTry, AnswerRateLimited, AnswerErrored, CancelTry, SetTimer, ProbeWorker,
+                            CloseIdleConnections, SendPeerMessage, AddToCount, WatchWorkerList,
+                            FetchWorkerList, WriteLog>;
 
 }  // namespace arrowstile
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -1,6 +1,6 @@
-// Every decision of a gatekeeper. Hand each event to Gatekeeper::handle with the time, in the order in which
-// things happened, and carry out the actions that come back in theirs. The interface is declared in
-// include/arrowstile/gatekeeper.hpp; docs/design.md tells what departs from the design's source.
+// Every decision of a gatekeeper. Hand each event to DecisionEngine::handle with the time, in the order in
+// which things happened, and carry out the actions that come back in theirs. The interface is declared in
+// include/arrowstile/decision_engine.hpp; docs/design.md tells what departs from the design's source.
 // The design: admits() decides at once from a cached two-window estimate; report() tells the counter of every
 // pass in the background, and the late reply refreshes the cache. Six mechanisms stand beside it:
 //   1 ranked fill: pick(), reorder(), learnLimit()   4 line of further tries: serveLine()
@@ -8,7 +8,7 @@
 //   3 warm-up limits: coldLimit()                    6 trust in the counter: trusted(), mayCall(), refresh()
 #include <algorithm>
 #include <array>
-#include <arrowstile/gatekeeper.hpp>
+#include <arrowstile/decision_engine.hpp>
 #include <bit>
 #include <cmath>
 #include <deque>
@@ -23,16 +23,16 @@
 
 using std::chrono::milliseconds;
 
-constexpr Span kTick = milliseconds(10);
+constexpr Duration kTick = milliseconds(10);
 constexpr TimerToken kTickToken{1};
 
-constexpr double kNearQuota = 0.5;            // of the burst; below it totals are read again,
-constexpr Span kRefresh = milliseconds(100);  // at most so often
-constexpr Span kBar = milliseconds(250), kBack = milliseconds(2000), kFullFor = milliseconds(3000);
+constexpr double kNearQuota = 0.5;                // of the burst; below it totals are read again,
+constexpr Duration kRefresh = milliseconds(100);  // at most so often
+constexpr Duration kBar = milliseconds(250), kBack = milliseconds(2000), kFullFor = milliseconds(3000);
 constexpr int kAdvice = 3;              // so many fit into a latency target,
 constexpr double kJitter = 0.5;         // less by up to this part
 constexpr std::size_t kDueLooked = 64;  // of the line of counts, by a tick
-constexpr Span kOpenEpoch = milliseconds(20000), kLongest = milliseconds(60000);
+constexpr Duration kOpenEpoch = milliseconds(20000), kLongest = milliseconds(60000);
 // To the counter, a second and at once: figures of all gateways together, each has its even part.
 constexpr double kCallsFirst = 600, kCallsLeast = 15, kLookAgain = 1;  // the last of each gateway
 constexpr double kCallsMore = 1200, kCallsCut = 0.7, kCallsAtOnce = 60;
@@ -45,9 +45,9 @@
 constexpr double kBadShare = 0.3, kFar = 3;             // of the outcomes; times the usual latency, by units
 constexpr std::size_t kJudgedFrom = 4, kTurnsFrom = 8;  // samples; gateways
 
-double ms(Span span) { return static_cast<double>(span.count()) / 1000; }
+double ms(Duration span) { return static_cast<double>(span.count()) / 1000; }
 
-Span spanOf(double inMs) { return Span{std::llround(inMs * 1000)}; }
+Duration spanOf(double inMs) { return Duration{std::llround(inMs * 1000)}; }
 
 std::uint64_t mixed(std::uint64_t value) {
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ull;
@@ -76,17 +76,17 @@
 /// How a worker does on one route: a fault may hit one route and spare the others.
 struct Health {
     Recent<16> bad;  // 1: no good answer
-    Span barredUntil{};
+    Timestamp barredUntil{};
 };
 
 struct Worker {
     WorkerEntry entry;
     int out = 0, cuts = 0;  // cuts: since its last answer
     double limit = 1, share = 1, key = 1;
-    Recent<16> slowness;                          // latency over the route's usual one
-    Recent<4> answered;                           // when the tries that it answered last had been sent
-    Span barredUntil{}, limitCutAt{}, endedAt{};  // endedAt: none before the first answer
-    std::vector<Health> health;                   // by route
+    Recent<16> slowness;                               // latency over the route's usual one
+    Recent<4> answered;                                // when the tries that it answered last had been sent
+    Timestamp barredUntil{}, limitCutAt{}, endedAt{};  // endedAt: none before the first answer
+    std::vector<Health> health;                        // by route
     bool left() const { return entry.state == WorkerState::gone && out == 0; }
 };
 
@@ -96,7 +96,8 @@
     double total = 0, confirmed = 0;                   // the last reply, and our own part of it
     double calling = 0, unsent = 0, unknown = 0;       // our own that no reply holds yet
     bool heard = false, callOut = false, due = false;  // due: holds a pass that has not been reported
-    Span heardAt{}, heardFor{};                        // the last reply, and how much of the window it covers
+    Timestamp heardAt{};                               // the last reply
+    Duration heardFor{};                               // how much of the window it covers
     double booked = 0;  // the others' part that the refilled store below has taken in
     double use() const { return total + calling + unsent + unknown; }
     double own() const { return confirmed + calling + unsent + unknown; }
@@ -125,7 +126,7 @@
     unsigned gateways = 1;
     Pair units, open;
     int openHere = 0;
-    Span fullAt{}, openRest{};  // when the open cap was last full, and how long its share rests
+    Timestamp fullAt{}, openRest{};  // when the open cap was last full, and how long its share rests
     std::deque<CallId> held;    // for the counter's answer; the first so many are counted by the call out
     std::deque<CallId> asking;  // wait for the first totals of the customer
     std::size_t heldInCall = 0;
@@ -133,11 +134,11 @@
     double othersPerMs = 0;  // their use by the last totals, never above the rate: they are held to it too
     double refilled = 0, guessed = 0;  // the quota's store as it is known, and what was guessed into it
     double ceilingLeft = 0;
-    Span refilledAt{}, ceilingAt{}, seenAt{};
+    Timestamp refilledAt{}, ceilingAt{}, seenAt{};
 };
 
-struct Call : CallTaken {
-    Span taken{}, until{}, sentAt{}, maybeRanFrom{};
+struct Call : CallReceived {
+    Timestamp taken{}, until{}, sentAt{}, maybeRanFrom{};
     unsigned tries = 0;
     bool out = false, held = false, closed = false, mayHaveRun = false, calledOff = false;
     WorkerId worker{};
@@ -147,15 +148,15 @@
 
 }  // namespace
 
-struct Gatekeeper::Mind {
-    Mind(const SiteFacts &given, std::uint64_t seed) : facts(given), chanceState(mixed(seed)) {
+struct DecisionEngine::Impl {
+    Impl(const EngineSettings &given, std::uint64_t seed) : facts(given), chanceState(mixed(seed)) {
         for (const Route &rt : facts.routes) routes.push_back({rt});
         rerank();
         callsASecond = part(kCallsFirst);
         callsLeft = atOnce();
     }
 
-    SiteFacts facts;
+    EngineSettings facts;
     Plan unlimited;
     std::uint64_t chanceState;
     std::vector<RouteRow> routes;
@@ -171,13 +172,13 @@
     Recent<32> sendGaps;
     double callsASecond = 0, callsLeft = 0;
     double usual = 0, work = 0;  // latencies, as they are now and without the wait, when last ranked
-    Span now{}, startedAt{}, pacedAt{}, paceCutAt{}, countOkAt{}, sentLast{};
+    Timestamp now{}, startedAt{}, pacedAt{}, paceCutAt{}, countOkAt{}, sentLast{};
     bool ticking = false, countFailing = false, orderOld = true;
     std::size_t warm = 0;  // ready workers that are not cold
     CustomerId lookedAt;
     std::vector<Action> actions;
 
-    std::vector<Action> handle(Span at, const Event &event) {
+    std::vector<Action> handle(Timestamp at, const Event &event) {
         now = at;
         actions.clear();
         if (!std::exchange(ticking, true)) {
@@ -196,20 +197,20 @@
 
     static bool limitsRate(const Plan &plan) { return plan.rate > 0 && plan.burst > 0; }
 
-    Span windowOf(const Plan &plan) const {
-        return limitsRate(plan) ? Span{1} + spanOf(plan.burst / plan.rate * 1000) : kOpenEpoch;
+    Duration windowOf(const Plan &plan) const {
+        return limitsRate(plan) ? Duration{1} + spanOf(plan.burst / plan.rate * 1000) : kOpenEpoch;
     }
 
     /// A phase for each customer: not all windows turn at one moment.
-    Span phased(CustomerId id, Span length) const {
-        return now + Span{static_cast<std::int64_t>(mixed(id.value) >> 1) % length.count()};
+    Timestamp phased(CustomerId id, Duration length) const {
+        return now + Duration{static_cast<std::int64_t>(mixed(id.value) >> 1) % length.count()};
     }
 
-    Customer &customerOf(const CallTaken &rq) {
+    Customer &customerOf(const CallReceived &rq) {
         auto [at, fresh] = customers.try_emplace(rq.customer);
         Customer &cons = at->second;
         cons.plan = rq.plan;
-        cons.gateways = std::clamp(rq.gateways, 1u, facts.gateways);
+        cons.gateways = std::clamp(rq.gatewaySubsetSize, 1u, facts.gatewayCount);
         cons.seenAt = now;
         if (!fresh) return cons;
         cons.ceilingAt = startedAt;
@@ -235,7 +236,7 @@
 
     void turn(CustomerId id, Customer &cons) {
         const Plan &plan = planOf(cons.plan);
-        const Span length = windowOf(plan);
+        const Duration length = windowOf(plan);
         cons.units.turnTo(phased(id, length) / length);
         const double passed = ms(now - cons.refilledAt), others = cons.othersPerMs * passed;
         cons.refilled = std::min(plan.burst, cons.refilled + plan.rate / 1000 * passed - others);
@@ -246,7 +247,7 @@
     /// Between replies the others go on: against old totals that let each gateway pass the limit alone.
     /// Before the first reply that leaves an even share, in an outage what they left by the last replies.
     double estimate(CustomerId id, const Customer &cons) const {
-        const Span length = windowOf(planOf(cons.plan)), into = phased(id, length) % length;
+        const Duration length = windowOf(planOf(cons.plan)), into = phased(id, length) % length;
         const Count &current = cons.units.current, &previous = cons.units.previous;
         const double unseen = cons.othersPerMs * ms(into - current.heardFor);
         const double before = cons.othersPerMs * ms(length - previous.heardFor);
@@ -264,9 +265,10 @@
     /// A retry belongs to its first try: one that comes back past the latency target uses up quota and earns
     /// next to nothing, and refused late it costs. So all retries of a client shall fit into the target.
     void rateLimit(CallId id, RouteId route) {
-        const Span most = std::min(facts.longestAdvice, routes[route.value].latencyTarget / kAdvice);
-        const Span advice = spanOf(ms(most) * (1 - kJitter * chance()));
-        actions.push_back(RateLimit{id, facts.mayAdvise ? std::optional(advice) : std::nullopt});
+        const Duration most = std::min(facts.maxRetryAfter, routes[route.value].latencyTarget / kAdvice);
+        const Duration advice = spanOf(ms(most) * (1 - kJitter * chance()));
+        actions.push_back(
+            AnswerRateLimited{id, facts.maySendRetryAfter ? std::optional(advice) : std::nullopt});
     }
 
     // ---- 6: reports to the counter, and trust in it ----
@@ -277,9 +279,9 @@
 
     /// Tells the counter what it has not been told. Adds are joined while a call for that name is out or the
     /// counter fails, since it goes on working on calls that nobody waits for; none is dropped.
-    void report(CustomerId id, Meaning meaning, Count &count, Span length, Ask ask = Ask::pass) {
+    void report(CustomerId id, Meaning meaning, Count &count, Duration length, Ask ask = Ask::pass) {
         const bool read = ask == Ask::read;
-        if (!facts.mayCount || count.index < 0 || count.callOut || !(count.due || read)) return;
+        if (!facts.mayUseCounter || count.index < 0 || count.callOut || !(count.due || read)) return;
         Customer &cons = customers.at(id);
         const bool asked = ask == Ask::first || (meaning == Meaning::open && !cons.held.empty());
         if (count.unsent == 0 && !read && !asked) return;
@@ -291,8 +293,8 @@
         count.due = false;
         const CountName name = nameOf(id, meaning, count.index);
         countCalls[name] = {id, meaning, count.index};
-        const Span wait = 4 * facts.countTimeout;  // a late answer still beats an add of unknown fate
-        actions.push_back(AddCount{name, count.unsent, std::min(kLongest, 3 * length), wait});
+        const Duration wait = 4 * facts.counterTimeout;  // a late answer still beats an add of unknown fate
+        actions.push_back(AddToCount{name, count.unsent, std::min(kLongest, 3 * length), wait});
         count.calling = std::exchange(count.unsent, 0);
         count.callOut = true;
         if (meaning == Meaning::open) cons.heldInCall = cons.held.size();
@@ -320,20 +322,20 @@
         const Plan &plan = planOf(cons.plan);
         if (!limitsRate(plan) || cons.refilled > kNearQuota * plan.burst) return;
         Count &current = cons.units.current, &past = cons.units.previous;
-        const Span length = windowOf(plan);
+        const Duration length = windowOf(plan);
         if (now - current.heardAt > kRefresh) report(id, Meaning::units, current, length, Ask::read);
         if (past.heard && past.heardFor < length) report(id, Meaning::units, past, length, Ask::read);
     }
 
     void reportAll(CustomerId id, Customer &cons, Ask ask = Ask::pass) {
-        const Span length = windowOf(planOf(cons.plan));
+        const Duration length = windowOf(planOf(cons.plan));
         for (auto at : {&Pair::current, &Pair::previous}) {
             report(id, Meaning::units, cons.units.*at, length, ask);
             report(id, Meaning::open, cons.open.*at, kOpenEpoch, ask);
         }
     }
 
-    void on(const CountAnswered &sum) {
+    void on(const AddToCountEnded &sum) {
         const auto found = countCalls.find(sum.name);
         if (found == countCalls.end()) return;
         const auto [id, meaning, index] = found->second;
@@ -356,7 +358,7 @@
             count->heardAt = now;
             if (meaning == Meaning::units) {
                 turn(id, cons);
-                const Span length = windowOf(planOf(cons.plan));
+                const Duration length = windowOf(planOf(cons.plan));
                 const bool running = count == &cons.units.current;
                 count->heardFor = running ? phased(id, length) % length : length;
                 cons.refilled -= count->others() - count->booked - cons.guessed;
@@ -368,7 +370,7 @@
                 cons.known = true;
                 cons.guessed = 0;
             }
-        } else if (sum.outcome == Outcome::full || sum.outcome == Outcome::connectFailed) {
+        } else if (sum.outcome == Outcome::overloaded || sum.outcome == Outcome::connectFailed) {
             count->unsent += added;
             count->due = true;
         } else {
@@ -380,12 +382,12 @@
     }
 
     bool trusted() const {
-        return facts.mayCount && (!countFailing || now - countOkAt < 4 * facts.countTimeout);
+        return facts.mayUseCounter && (!countFailing || now - countOkAt < 4 * facts.counterTimeout);
     }
 
     /// Paced by what the counter takes: it works on calls that nobody waits for too, so that too many bring
     /// less. Holds against a slow, full, silent or refusing counter and against very many gateways.
-    double part(double ofAll) const { return ofAll / facts.gateways; }
+    double part(double ofAll) const { return ofAll / facts.gatewayCount; }
     /// However many gateways there are, each sees within a second or so that the counter is back.
     double leastCalls() const { return std::max(kLookAgain, part(kCallsLeast)); }
     double atOnce() const { return std::max(4.0, part(kCallsAtOnce)); }
@@ -396,12 +398,12 @@
         return callsLeft >= spare && (callsLeft -= spent, true);
     }
 
-    void learnPace(bool ok, Span latency) {
+    void learnPace(bool ok, Duration latency) {
         countFailing = !ok;
         if (ok) countOkAt = now;
-        if (ok && 4 * latency < facts.countTimeout) {
+        if (ok && 4 * latency < facts.counterTimeout) {
             callsASecond = callsASecond + part(kCallsMore) / callsASecond;
-        } else if ((!ok || 2 * latency > facts.countTimeout) && now - paceCutAt > facts.countTimeout) {
+        } else if ((!ok || 2 * latency > facts.counterTimeout) && now - paceCutAt > facts.counterTimeout) {
             callsASecond = std::max(leastCalls(), callsASecond * kCallsCut);
             callsLeft = std::min(callsLeft, 1.0);
             paceCutAt = now;
@@ -425,7 +427,9 @@
         return now < cons.openRest ? 0 : std::max(1u, planOf(cons.plan).openCap / cons.gateways);
     }
 
-    bool nearCap(const Customer &cons) const { return cons.fullAt != Span{} && now - cons.fullAt < kFullFor; }
+    bool nearCap(const Customer &cons) const {
+        return cons.fullAt != Timestamp{} && now - cons.fullAt < kFullFor;
+    }
 
     /// Tries end soon: what the others had open when a total was heard fades with the usual latency.
     double stillOpen(const Count &count) const {
@@ -469,15 +473,15 @@
     /// is a multiple of the limit. Where the share is under this call, and no total of either window is
     /// known, the call waits for the totals once, as an isolate does for its first read; then the cache
     /// decides.
-    bool asksFirst(const Customer &cons, const CallTaken &rq) const {
+    bool asksFirst(const Customer &cons, const CallReceived &rq) const {
         const Plan &plan = planOf(rq.plan);
         const bool cold = !cons.units.current.heard && !cons.units.previous.heard;
         return limitsRate(plan) && plan.openCap == 0 && cold && plan.burst / cons.gateways < 1 && trusted() &&
-               rq.left > 4 * facts.countTimeout;
+               rq.timeRemaining > 4 * facts.counterTimeout;
     }
 
     void ask(CustomerId id, Customer &cons, Call &rq) {
-        const Span length = windowOf(planOf(cons.plan));
+        const Duration length = windowOf(planOf(cons.plan));
         cons.asking.push_back(rq.call);
         rq.held = true;
         cons.units.current.unsent += rq.units;
@@ -522,9 +526,9 @@
 
     // ---- API calls and upstream tries ----
 
-    void on(const CallTaken &taken) {
+    void on(const CallReceived &taken) {
         if (calls.contains(taken.call)) return;
-        if (taken.route.value >= routes.size()) return actions.push_back(GiveError{taken.call});
+        if (taken.route.value >= routes.size()) return actions.push_back(AnswerErrored{taken.call});
         Customer &cons = customerOf(taken);
         turn(taken.customer, cons);
         const bool asks = asksFirst(cons, taken);
@@ -534,14 +538,14 @@
             refresh(taken.customer, cons);
             return;
         }
-        Call &rq = calls[taken.call] = {taken, now, now + taken.left};
+        Call &rq = calls[taken.call] = {taken, now, now + taken.timeRemaining};
         if (asks) return ask(taken.customer, cons, rq);
         // With the cap lately full any cache is too old: the try is counted first and held for the answer. So
         // is a total older than a try lasts, where an even share of the cap would be under one.
         const Count &open = cons.open.current;
         const bool old = planOf(rq.plan).openCap < cons.gateways && ms(now - open.heardAt) > usual;
         rq.held = planOf(rq.plan).openCap > 0 && (nearCap(cons) || old) && trusted() &&
-                  taken.left > 4 * facts.countTimeout;
+                  taken.timeRemaining > 4 * facts.counterTimeout;
         if (!rq.held) return start(taken.call, rq, cons);
         list(taken.customer, cons);
         cons.held.push_back(taken.call);
@@ -586,17 +590,17 @@
         if (found == calls.end() || !found->second.out) return;
         Call &rq = found->second;
         rq.out = false;
-        const bool neverRan = ended.outcome == Outcome::full || ended.outcome == Outcome::connectFailed ||
-                              ended.outcome == Outcome::notSent;
+        const bool neverRan = ended.outcome == Outcome::overloaded ||
+                              ended.outcome == Outcome::connectFailed || ended.outcome == Outcome::notSent;
         if (at != workers.end()) at->second.out = std::max(0, at->second.out - 1);
         if (at != workers.end() && !neverRan && !std::exchange(rq.mayHaveRun, true)) {
             rq.maybeRanFrom = rq.sentAt;
             rq.maybeRanAt = at->second.entry;
         }
         countOpen(rq, -1);
-        if (ended.trueUnits) settle(rq, *ended.trueUnits - rq.units);
-        if (!rq.closed && !ended.callClosed) line.push_back(ended.call);
-        if (rq.closed || ended.callClosed) calls.erase(found);
+        if (ended.actualUnits) settle(rq, *ended.actualUnits - rq.units);
+        if (!rq.closed && !ended.isCallClosed) line.push_back(ended.call);
+        if (rq.closed || ended.isCallClosed) calls.erase(found);
         serveLine();
     }
 
@@ -609,25 +613,25 @@
         found->second.units.current.unsent += more;
     }
 
-    void on(const TryFlowing &flowing) {  // the stream is the client's: no call off, no answer
+    void on(const TryStreamStarted &flowing) {  // the stream is the client's: no call off, no answer
         if (const auto found = calls.find(flowing.call); found != calls.end()) found->second.closed = true;
     }
 
-    void on(const ClientGone &gone) {
+    void on(const CallAbandoned &gone) {
         const auto found = calls.find(gone.call);
         if (found == calls.end() || std::exchange(found->second.closed, true)) return;
         const Call &rq = found->second;
         const auto last = static_cast<std::uint8_t>(rq.tries - 1);
-        if (rq.out && facts.mayCancel) actions.push_back(CallOffTry{gone.call, {last}});
+        if (rq.out && facts.mayCancel) actions.push_back(CancelTry{gone.call, {last}});
         if (!rq.out && !rq.held) calls.erase(found);
     }
 
     /// The final answer, given as soon as nothing more will be tried.
     void finish(CallId id, const Call &rq) {
         const RouteRow &row = routes[rq.route.value];
-        const bool anywhere = row.effect == Effect::idempotent || row.repeatScope == RepeatScope::all;
+        const bool anywhere = row.effect == Effect::idempotent || row.dedupScope == DedupScope::all;
         const bool harmless = mayRunAgain(rq) && (!rq.mayHaveRun || anywhere);
-        harmless ? rateLimit(id, rq.route) : actions.push_back(GiveError{id});
+        harmless ? rateLimit(id, rq.route) : actions.push_back(AnswerErrored{id});
         calls.erase(id);
     }
 
@@ -635,14 +639,15 @@
 
     /// What no worker has seen is given up in the first half of its time: later it costs the client more.
     bool mayTryAgain(const Call &rq) const {
-        const Span latest = rq.mayHaveRun ? rq.until - 2 * kTick : rq.taken + rq.left / 2 - 2 * kTick;
-        return rq.tries < facts.mostTries && mayRunAgain(rq) &&
+        const Timestamp latest =
+            rq.mayHaveRun ? rq.until - 2 * kTick : rq.taken + rq.timeRemaining / 2 - 2 * kTick;
+        return rq.tries < facts.maxTries && mayRunAgain(rq) &&
                now < std::min(rq.taken + routes[rq.route.value].latencyTarget, latest);
     }
 
     bool mayRunAgain(const Call &rq) const {
         const RouteRow &row = routes[rq.route.value];
-        const bool dropped = row.effect == Effect::tokened && now < rq.maybeRanFrom + row.repeatWindow;
+        const bool dropped = row.effect == Effect::tokened && now < rq.maybeRanFrom + row.dedupWindow;
         return !rq.mayHaveRun || row.effect == Effect::idempotent || dropped;
     }
 
@@ -650,10 +655,9 @@
 
     bool inScope(const Call &rq, const Worker &worker) const {
         const RouteRow &row = routes[rq.route.value];
-        if (!rq.mayHaveRun || row.effect != Effect::tokened || row.repeatScope == RepeatScope::all)
-            return true;
-        return row.repeatScope == RepeatScope::zone ? worker.entry.zone == rq.maybeRanAt.zone
-                                                    : worker.entry.cell == rq.maybeRanAt.cell;
+        if (!rq.mayHaveRun || row.effect != Effect::tokened || row.dedupScope == DedupScope::all) return true;
+        return row.dedupScope == DedupScope::zone ? worker.entry.zone == rq.maybeRanAt.zone
+                                                  : worker.entry.group == rq.maybeRanAt.group;
     }
 
     void serveLine() {
@@ -688,7 +692,8 @@
         for (const bool beyondShare : {false, true}) {
             for (const Worker *worker : ranked) {
                 const WorkerId id = worker->entry.worker;
-                const Span barred = std::max(worker->barredUntil, worker->health[rq.route.value].barredUntil);
+                const Timestamp barred =
+                    std::max(worker->barredUntil, worker->health[rq.route.value].barredUntil);
                 if (now < barred) continue;
                 if (!beyondShare && worker->out >= worker->share) continue;
                 const bool again = rq.tries > 0 && rq.worker == id && ranked.size() > 1;
@@ -697,7 +702,7 @@
                 // A limit under one is kept by rests: so many gateways with one try each would be too many.
                 const double limit = std::min(trial ? 1 : limitOf(*worker), coldLimit(*worker)) * part;
                 const double rest = (1 / std::max(1e-3, limit) - 1) * usual;
-                const bool rested = worker->endedAt == Span{} || ms(now - worker->endedAt) >= rest;
+                const bool rested = worker->endedAt == Timestamp{} || ms(now - worker->endedAt) >= rest;
                 if (worker->out < limit && rested) return id;
             }
         }
@@ -711,7 +716,7 @@
         for (auto &[id, worker] : workers)
             if (worker.entry.state == WorkerState::ready) order.push_back(&worker);
         const auto place = [this](const Worker *worker) {
-            const std::uint64_t own = mixed(mixed(facts.rank.value + 1) ^ worker->entry.worker.value);
+            const std::uint64_t own = mixed(mixed(facts.gatewayIndex.value + 1) ^ worker->entry.worker.value);
             return std::pair(worker->entry.zone != facts.zone, own);
         };
         std::ranges::stable_sort(order, {}, place);
@@ -722,7 +727,7 @@
 
     /// Of a warm worker. As most of the fleet turns cold each of the others gets more gateways at once, so a
     /// limit is kept as that of all together.
-    double users() const { return facts.gateways * std::min(1.0, wanted() / std::max<double>(1, warm)); }
+    double users() const { return facts.gatewayCount * std::min(1.0, wanted() / std::max<double>(1, warm)); }
 
     double limitOf(const Worker &worker) const { return worker.limit / users(); }
 
@@ -790,7 +795,7 @@
             row.work.add(std::min(ms(ended.latency), kLateAt * ms(row.latencyTarget)));
             worker.slowness.add(ms(ended.latency) / std::max(0.1, row.latencies.mean(1)));
             learnLimit(worker, ms(ended.latency), ms(row.latencyTarget));
-        } else if (ended.outcome == Outcome::full) {
+        } else if (ended.outcome == Outcome::overloaded) {
             worker.limit = std::max(1.0, 0.7 * std::min(worker.limit, worker.out * users()));
             worker.barredUntil = std::max(worker.barredUntil, now + kBar / 2);
         } else if (cut || ended.outcome == Outcome::errored || ended.outcome == Outcome::timedOut) {
@@ -803,7 +808,7 @@
         }
         // One that turned us away rests as well: else all gateways come back to its full line at once.
         const bool heard = ended.outcome == Outcome::answered || ended.outcome == Outcome::errored;
-        if (heard || ended.outcome == Outcome::full) worker.endedAt = now;
+        if (heard || ended.outcome == Outcome::overloaded) worker.endedAt = now;
     }
 
     /// A connection can fall silent while its worker goes on. A try that the last answers there have
@@ -813,18 +818,18 @@
         for (auto &[id, rq] : calls) {
             const auto at = workers.find(rq.worker);
             if (!facts.mayCancel || !rq.out || rq.calledOff || at == workers.end()) continue;
-            const Span target = routes[rq.route.value].latencyTarget;
+            const Duration target = routes[rq.route.value].latencyTarget;
             const double far = kFar * (1 + rq.units) * routes[rq.route.value].latencies.mean(ms(target));
             if (now - rq.sentAt < (once(rq) ? target : std::min(target, spanOf(far)))) continue;
             rq.calledOff = std::ranges::min(at->second.answered.samples) > ms(rq.sentAt);
-            if (rq.calledOff) actions.push_back(CallOffTry{id, {static_cast<std::uint8_t>(rq.tries - 1)}});
+            if (rq.calledOff) actions.push_back(CancelTry{id, {static_cast<std::uint8_t>(rq.tries - 1)}});
         }
     }
 
     // ---- 3: warm-up ----
 
     bool cold(const Worker &worker) const {
-        return worker.entry.startedAt != Span{} && now - worker.entry.startedAt < facts.warmUp;
+        return worker.entry.startedAt != Timestamp{} && now - worker.entry.startedAt < facts.warmUp;
     }
 
     /// A cold worker ends no more than it can do, so what is out bounds what is sent: all gateways together
@@ -833,23 +838,23 @@
     double coldLimit(const Worker &worker) const {
         if (!cold(worker)) return limitOf(worker);
         const double part = std::max(0.0, ms(now - worker.entry.startedAt) / ms(facts.warmUp));
-        const double capacity = facts.coldShare + (1 - facts.coldShare) * part;
-        const double tries = (facts.fallMultiple - 1) * capacity * ms(facts.fallSpan) / work;
-        if (tries >= facts.gateways || facts.gateways < kTurnsFrom) {
-            return std::max(1.0, std::floor(tries / facts.gateways));
+        const double capacity = facts.coldCapacityFraction + (1 - facts.coldCapacityFraction) * part;
+        const double tries = (facts.coldOverloadFactor - 1) * capacity * ms(facts.coldOverloadWindow) / work;
+        if (tries >= facts.gatewayCount || facts.gatewayCount < kTurnsFrom) {
+            return std::max(1.0, std::floor(tries / facts.gatewayCount));
         }
-        const auto turn = static_cast<std::uint64_t>(now / std::max(Span{1}, facts.fallSpan));
+        const auto turn = static_cast<std::uint64_t>(now / std::max(Duration{1}, facts.coldOverloadWindow));
         const auto width = static_cast<std::uint64_t>(std::max(1.0, tries / 2));
-        const auto place = facts.rank.value + mixed(worker.entry.worker.value) + turn * width;
-        return place % facts.gateways < width ? 1 : 0;
+        const auto place = facts.gatewayIndex.value + mixed(worker.entry.worker.value) + turn * width;
+        return place % facts.gatewayCount < width ? 1 : 0;
     }
 
     // ---- the list of workers, timers, and what this version has no use for ----
 
-    void on(const WorkerListed &news) {
-        if (news.how == ListNews::failed) return;
+    void on(const WorkerListUpdated &news) {
+        if (news.kind == WorkerListKind::failed) return;
         for (auto &[id, worker] : workers)
-            if (news.how != ListNews::changes) worker.entry.state = WorkerState::gone;
+            if (news.kind != WorkerListKind::delta) worker.entry.state = WorkerState::gone;
         for (const WorkerEntry &entry : news.workers) {
             Worker &worker = workers[entry.worker];
             // Another process: nothing learned of the last one holds.
@@ -872,7 +877,7 @@
         std::vector<CustomerId> late;
         // Whatever keeps the counter's answer away, none waits for it longer than the counter may take.
         for (const auto &[id, rq] : calls)
-            if (rq.held && now - rq.taken > 2 * facts.countTimeout) late.push_back(rq.customer);
+            if (rq.held && now - rq.taken > 2 * facts.counterTimeout) late.push_back(rq.customer);
         for (const CustomerId id : late) {
             decideHeld(customers.at(id), false, 0);
             decideAsking(id, customers.at(id));
@@ -922,7 +927,7 @@
             lookedAt = at->first;
             const Plan &plan = planOf(cons.plan);
             const double fills = plan.ceilingRate > 0 ? plan.ceilingBurst / plan.ceilingRate * 1000 : 0;
-            const Span kept = std::max(2 * windowOf(plan), spanOf(fills));
+            const Duration kept = std::max(2 * windowOf(plan), spanOf(fills));
             const bool waits = cons.openHere > 0 || cons.listed || !cons.asking.empty();
             if (now - cons.seenAt > kept && !waits) customers.erase(at);
         }
@@ -931,12 +936,14 @@
     void on(const auto &) {}  // this version neither probes nor talks to its peers
 };
 
-Gatekeeper::Gatekeeper(const SiteFacts &facts, std::uint64_t seed)
-    : mind_(std::make_unique<Mind>(facts, seed)) {}
-Gatekeeper::~Gatekeeper() = default;
-Gatekeeper::Gatekeeper(Gatekeeper &&) noexcept = default;
-Gatekeeper &Gatekeeper::operator=(Gatekeeper &&) noexcept = default;
+DecisionEngine::DecisionEngine(const EngineSettings &facts, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(facts, seed)) {}
+DecisionEngine::~DecisionEngine() = default;
+DecisionEngine::DecisionEngine(DecisionEngine &&) noexcept = default;
+DecisionEngine &DecisionEngine::operator=(DecisionEngine &&) noexcept = default;
 
-std::vector<Action> Gatekeeper::handle(Span now, const Event &event) { return mind_->handle(now, event); }
+std::vector<Action> DecisionEngine::handle(Timestamp now, const Event &event) {
+    return impl_->handle(now, event);
+}
 
 }  // namespace arrowstile
--- a/src/lab/model/agenda.hpp
+++ b/src/lab/model/agenda.hpp
@@ -12,11 +12,11 @@
 /// Virtual time: what is due, in order of time and, at one moment, in the order in which it was set.
 class Agenda {
 public:
-    void at(Span due, std::function<void()> act) { due_.push({due, ++last_, std::move(act)}); }
-    Span now() const { return now_; }
+    void at(Timestamp due, std::function<void()> act) { due_.push({due, ++last_, std::move(act)}); }
+    Timestamp now() const { return now_; }
     std::uint64_t done() const { return done_; }
 
-    void run(Span until) {
+    void run(Timestamp until) {
         while (!due_.empty() && due_.top().due <= until) {
             const Entry next = std::move(const_cast<Entry &>(due_.top()));  // popped in the next line
             due_.pop();
@@ -29,7 +29,7 @@
 
 private:
     struct Entry {
-        Span due;
+        Timestamp due;
         std::uint64_t number;
         std::function<void()> act;
         bool operator<(const Entry &other) const {
@@ -37,7 +37,7 @@
         }
     };
     std::priority_queue<Entry> due_;
-    Span now_{};
+    Timestamp now_{};
     std::uint64_t last_ = 0, done_ = 0;
 };
 
@@ -59,7 +59,7 @@
     std::mt19937_64 source_;
 };
 
-inline double inMs(Span span) { return static_cast<double>(span.count()) / 1000; }
-inline Span fromMs(double ms) { return Span{static_cast<std::int64_t>(ms * 1000 + 0.5)}; }
+inline double inMs(Duration span) { return static_cast<double>(span.count()) / 1000; }
+inline Duration fromMs(double ms) { return Duration{static_cast<std::int64_t>(ms * 1000 + 0.5)}; }
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/counter.cpp
+++ b/src/lab/model/counter.cpp
@@ -4,7 +4,7 @@
 
 namespace arrowstile::lab {
 
-void Counter::forget(Span now) {
+void Counter::forget(Timestamp now) {
     while (!ends_.empty() && ends_.begin()->first <= now) {
         const auto found = numbers_.find(ends_.begin()->second);
         if (found != numbers_.end() && found->second.until <= now) numbers_.erase(found);
@@ -12,11 +12,11 @@
     }
 }
 
-Counted Counter::add(Span now, CountName name, double amount, Span keep) {
+Counted Counter::add(Timestamp now, CountName name, double amount, Duration keep) {
     ++calls_;
     if (way_ == CounterWay::silent) return {};
-    const Span each = fromMs(1000 * static_cast<double>(busyUntil_.size()) / spec_.perSecond * slower_);
-    Span &busy = busyUntil_[name.value % busyUntil_.size()];
+    const Duration each = fromMs(1000 * static_cast<double>(busyUntil_.size()) / spec_.perSecond * slower_);
+    Timestamp &busy = busyUntil_[name.value % busyUntil_.size()];
     if (way_ == CounterWay::refuses || busy > now + each * spec_.waiting) {
         ++turnedAway_;
         return {false, true, 0, now};
--- a/src/lab/model/counter.hpp
+++ b/src/lab/model/counter.hpp
@@ -18,7 +18,7 @@
 struct Counted {
     bool added = false, answered = false;
     double total = 0;
-    Span at{};  ///< when the answer, or the refusal, leaves
+    Timestamp at{};  ///< when the answer, or the refusal, leaves
 };
 
 /// The counter service without I/O: names, their life, its line and what may become of it.
@@ -26,7 +26,7 @@
 public:
     explicit Counter(const CounterSpec &spec) : spec_(spec), busyUntil_(std::max(1u, spec.parts)) {}
 
-    Counted add(Span now, CountName name, double amount, Span keep);
+    Counted add(Timestamp now, CountName name, double amount, Duration keep);
     void way(CounterWay way) { way_ = way; }
     void slower(double times) { slower_ = times; }
     void empty() { numbers_.clear(); }
@@ -36,16 +36,16 @@
 private:
     struct Number {
         double total = 0;
-        Span until{};
+        Timestamp until{};
     };
-    void forget(Span now);
+    void forget(Timestamp now);
 
     CounterSpec spec_;
     CounterWay way_ = CounterWay::serves;
     double slower_ = 1;
-    std::vector<Span> busyUntil_;
+    std::vector<Timestamp> busyUntil_;
     std::map<CountName, Number> numbers_;
-    std::multimap<Span, CountName> ends_;
+    std::multimap<Timestamp, CountName> ends_;
     std::uint64_t calls_ = 0, turnedAway_ = 0;
 };
 
--- a/src/lab/model/fleet.cpp
+++ b/src/lab/model/fleet.cpp
@@ -9,22 +9,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Span kSpan = seconds(5);             // of the report
-constexpr Span kCell = seconds(1);             // of what could be served
-constexpr double kTells = 50;                  // calls: fewer say nothing of a route or plan
-constexpr Span kTail = seconds(6);             // after the last arrival: longer than any client waits
-constexpr Span kNoticed = milliseconds(1500);  // clients go on coming to a dead gateway
+constexpr Duration kSpan = seconds(5);             // of the report
+constexpr Duration kCell = seconds(1);             // of what could be served
+constexpr double kTells = 50;                      // calls: fewer say nothing of a route or plan
+constexpr Duration kTail = seconds(6);             // after the last arrival: longer than any client waits
+constexpr Duration kNoticed = milliseconds(1500);  // clients go on coming to a dead gateway
 
 struct Customer {
     std::uint64_t id = 0;
     unsigned plan = 0, first = 0;
     double store = 0;  // of a limiter that sees everything
-    Span filledAt{};
+    Timestamp filledAt{};
     int open = 0;
 };
 
 struct Wish {  // what a client wants, over all of its tries
-    Span first{};
+    Timestamp first{};
     unsigned route = 0, tries = 0;
     std::size_t customer = 0;
     double units = 1, worth = 1;
@@ -34,7 +34,7 @@
 struct Call {
     std::shared_ptr<Wish> wish;
     unsigned gateway = 0;
-    Span sentAt{}, due{};
+    Timestamp sentAt{}, due{};
     bool over = false, taken = false;
     unsigned tries = 0;
     std::uint64_t attempt = 0;  // the try that is out, 0: none
@@ -42,7 +42,7 @@
 };
 
 struct Gateway {
-    std::unique_ptr<Gatekeeper> keeper;
+    std::unique_ptr<DecisionEngine> keeper;
     unsigned life = 0;
     bool alive = false;
 };
@@ -75,28 +75,28 @@
     // ---- the world at its start ----
 
     void build() {
-        for (unsigned i = 0; i < s_.nodes; ++i) addNode(Span{});
-        gateways_.resize(s_.facts.gateways);
-        for (unsigned rank = 0; rank < s_.facts.gateways; ++rank) startGateway(rank);
+        for (unsigned i = 0; i < s_.nodes; ++i) addNode(Timestamp{});
+        gateways_.resize(s_.facts.gatewayCount);
+        for (unsigned rank = 0; rank < s_.facts.gatewayCount; ++rank) startGateway(rank);
         for (unsigned plan = 0; plan < s_.plans.size(); ++plan) {
             byPlan_.emplace_back();
             for (unsigned i = 0; i < s_.plans[plan].customers; ++i) {
                 byPlan_[plan].push_back(customers_.size());
                 customers_.push_back({customers_.size() + 1, plan,
-                                      static_cast<unsigned>(chance_.below(s_.facts.gateways)),
+                                      static_cast<unsigned>(chance_.below(s_.facts.gatewayCount)),
                                       s_.facts.plans[plan].burst, start_, 0});
             }
             report_.plans.push_back({s_.plans[plan].name, 0, 0});
         }
         for (const RouteTraffic &route : s_.routes) report_.routes.push_back({route.name, 0, 0});
-        const auto cells = static_cast<std::size_t>((s_.length + kCell - Span{1}) / kCell);
+        const auto cells = static_cast<std::size_t>((s_.length + kCell - Duration{1}) / kCell);
         const std::vector<double> none(cells, 0);
         for (const RouteTraffic &route : s_.routes)
             report_.fared.push_back({"route " + route.name, none, none, none});
         for (const PlanTraffic &plan : s_.plans)
             report_.fared.push_back({"plan " + plan.name, none, none, none});
         workAsked_ = none;
-        for (Span at{}; at < s_.length; at += kSpan)
+        for (Timestamp at{}; at < s_.length; at += kSpan)
             report_.spans.push_back({std::to_string(at / seconds(1)) + " s", 0, 0});
     }
 
@@ -117,15 +117,15 @@
         if (what == &Fared::asked) workAsked_[cell] += s_.routes[wish.route].workMs;
     }
 
-    std::size_t addNode(Span startedAt) {
+    std::size_t addNode(Timestamp startedAt) {
         const auto number = static_cast<std::uint32_t>(nodes_.size() + 1);
         Machine made;
-        made.node = std::make_unique<Node>(s_.node, startedAt == Span{} ? Span{-s_.node.warmUp} : startedAt,
-                                           chance_.number());
+        made.node = std::make_unique<Node>(
+            s_.node, startedAt == Timestamp{} ? Timestamp{-s_.node.warmUp} : startedAt, chance_.number());
         made.entry = {WorkerId{number},
                       s_.facts.zone,
                       {},
-                      CellId{static_cast<std::uint16_t>(number)},
+                      WorkerGroupId{static_cast<std::uint16_t>(number)},
                       WorkerState::ready,
                       1,
                       startedAt};
@@ -133,8 +133,8 @@
         return nodes_.size() - 1;
     }
 
-    WorkerListed wholeList(ListNews how) const {
-        WorkerListed list{how, 1, {}};
+    WorkerListUpdated wholeList(WorkerListKind how) const {
+        WorkerListUpdated list{how, 1, {}};
         for (const Machine &one : nodes_)
             if (one.entry.state != WorkerState::gone) list.workers.push_back(one.entry);
         return list;
@@ -142,12 +142,12 @@
 
     void startGateway(unsigned rank) {
         Gateway &gateway = gateways_[rank];
-        SiteFacts facts = s_.facts;
-        facts.rank.value = rank;
-        gateway.keeper = std::make_unique<Gatekeeper>(facts, chance_.number());
+        EngineSettings facts = s_.facts;
+        facts.gatewayIndex.value = rank;
+        gateway.keeper = std::make_unique<DecisionEngine>(facts, chance_.number());
         ++gateway.life;
         gateway.alive = true;
-        tell(rank, wholeList(ListNews::full));
+        tell(rank, wholeList(WorkerListKind::snapshot));
     }
 
     // ---- gateways ----
@@ -159,7 +159,7 @@
     }
 
     /// Events on their way to a gateway are lost with its life.
-    void later(unsigned rank, Span after, Event event) {
+    void later(unsigned rank, Duration after, Event event) {
         agenda_.at(agenda_.now() + after,
                    [this, rank, life = gateways_[rank].life, event = std::move(event)] {
                        if (gateways_[rank].life == life) tell(rank, event);
@@ -172,25 +172,26 @@
         });
     }
 
-    void carry(unsigned rank, const AddCount &what) {
+    void carry(unsigned rank, const AddToCount &what) {
         const unsigned life = gateways_[rank].life;
-        const Span sent = agenda_.now();
-        const Span wait = std::max(what.wait, s_.facts.countTimeout);
+        const Timestamp sent = agenda_.now();
+        const Duration wait = std::max(what.timeout, s_.facts.counterTimeout);
         agenda_.at(sent + s_.oneWay, [this, rank, life, what, sent, wait] {
-            const Counted done = counter_.add(agenda_.now(), what.name, what.amount, what.keep);
+            const Counted done = counter_.add(agenda_.now(), what.name, what.amount, what.lifetime);
             const bool inTime = done.answered && done.at + s_.oneWay <= sent + wait;
-            const Span heard = inTime ? done.at + s_.oneWay : sent + wait;
+            const Timestamp heard = inTime ? done.at + s_.oneWay : sent + wait;
             const Outcome outcome = !inTime      ? Outcome::timedOut
                                     : done.added ? Outcome::answered
-                                                 : Outcome::full;
+                                                 : Outcome::overloaded;
             agenda_.at(heard, [this, rank, life, what, outcome, total = done.total, took = heard - sent] {
-                if (gateways_[rank].life == life) tell(rank, CountAnswered{what.name, outcome, total, took});
+                if (gateways_[rank].life == life)
+                    tell(rank, AddToCountEnded{what.name, outcome, total, took});
             });
         });
     }
 
-    void carry(unsigned, const RateLimit &what) { answer(what.call, false, true, what.retryAfter); }
-    void carry(unsigned, const GiveError &what) { answer(what.call, false, false, {}); }
+    void carry(unsigned, const AnswerRateLimited &what) { answer(what.call, false, true, what.retryAfter); }
+    void carry(unsigned, const AnswerErrored &what) { answer(what.call, false, false, {}); }
     void carry(unsigned, const auto &) {}
 
     void carry(unsigned rank, const SendTry &what) {
@@ -208,9 +209,9 @@
         const RouteTraffic &route = s_.routes[wish.route];
         const Route &facts = s_.facts.routes[wish.route];
         const Job job{JobId{attempt}, what.call.value, chance_.exponential(route.workMs),
-                      facts.effect == Effect::tokened, facts.repeatWindow};
+                      facts.effect == Effect::tokened, facts.dedupWindow};
         ++customers_[wish.customer].open;
-        Span comesUp{};
+        Timestamp comesUp{};
         if (connectsLate_ > 0 && call.node < lateNodes_) comesUp = fromMs(chance_.part() * connectsLate_);
         if (comesUp > s_.facts.connectTimeout)
             agenda_.at(agenda_.now() + s_.facts.connectTimeout,
@@ -218,18 +219,18 @@
         else
             agenda_.at(agenda_.now() + comesUp + s_.oneWay,
                        [this, at = call.node, job] { arriveAt(at, job); });
-        agenda_.at(std::max(what.notPast, agenda_.now()), [this, attempt, at = call.node] {
+        agenda_.at(std::max(what.deadline, agenda_.now()), [this, attempt, at = call.node] {
             if (attempts_.contains(attempt)) nodes_[at].node->callOff(JobId{attempt});
             tryOver(attempt, Outcome::timedOut, {});
         });
     }
 
-    void carry(unsigned, const CallOffTry &what) {
+    void carry(unsigned, const CancelTry &what) {
         const auto call = calls_.find(what.call.value);
         if (call == calls_.end() || call->second.attempt == 0) return;
         const std::uint64_t attempt = call->second.attempt;
         nodes_[call->second.node].node->callOff(JobId{attempt});
-        agenda_.at(agenda_.now(), [this, attempt] { tryOver(attempt, Outcome::calledOff, {}); });
+        agenda_.at(agenda_.now(), [this, attempt] { tryOver(attempt, Outcome::cancelled, {}); });
     }
 
     /// The one outcome of a try; whatever comes of it later is dropped.
@@ -261,7 +262,7 @@
         if (machine.node->isSilent()) return;
         const auto turned = machine.node->offer(agenda_.now(), job);
         report_.worstPush = std::max(report_.worstPush, machine.node->worstPush());
-        if (turned) return back(job.id, Outcome::full, turned->queue);
+        if (turned) return back(job.id, Outcome::overloaded, turned->queue);
         if (!machine.node->alive()) return lost(at);
         wake(at);
     }
@@ -304,7 +305,7 @@
 
     void change(std::size_t at, WorkerState state) {
         nodes_[at].entry.state = state;
-        const WorkerListed news{ListNews::changes, 1, {nodes_[at].entry}};
+        const WorkerListUpdated news{WorkerListKind::delta, 1, {nodes_[at].entry}};
         const unsigned late = lateGateways_;
         const auto hear = [this, news, at, state](unsigned from, unsigned to) {
             for (unsigned rank = from; rank < to; ++rank) {
@@ -435,7 +436,7 @@
     /// Open-loop: arrivals do not wait for answers.
     void arrive() {
         const double gap = 1000 / (s_.callsASecond * jump_);
-        const Span next = agenda_.now() + fromMs(chance_.exponential(gap));
+        const Timestamp next = agenda_.now() + fromMs(chance_.exponential(gap));
         if (std::max(next, start_) >= start_ + s_.length) return;
         agenda_.at(std::max(next, start_), [this] {
             auto wish = std::make_shared<Wish>();
@@ -460,7 +461,7 @@
         });
     }
 
-    std::size_t spanOf(Span at) const {
+    std::size_t spanOf(Timestamp at) const {
         return std::min(report_.spans.size() - 1, static_cast<std::size_t>((at - start_) / kSpan));
     }
 
@@ -476,9 +477,9 @@
 
     void come(const std::shared_ptr<Wish> &wish) {
         const Customer &customer = customers_[wish->customer];
-        const unsigned rank =
-            (customer.first + static_cast<unsigned>(chance_.skewed(s_.set, s_.uneven))) % s_.facts.gateways;
-        const Span left = wish->first + s_.facts.routes[wish->route].clientTimeout - agenda_.now();
+        const unsigned rank = (customer.first + static_cast<unsigned>(chance_.skewed(s_.set, s_.uneven))) %
+                              s_.facts.gatewayCount;
+        const Duration left = wish->first + s_.facts.routes[wish->route].clientTimeout - agenda_.now();
         if (left <= 2 * s_.oneWay) return;
         const std::uint64_t id = ++lastCall_;
         ++wish->tries;
@@ -493,37 +494,37 @@
             }
             const Wish &its = *call.wish;
             const Customer &who = customers_[its.customer];
-            CallTaken taken;
+            CallReceived taken;
             taken.call = {id};
             taken.route.value = static_cast<std::uint8_t>(its.route);
             taken.plan.value = static_cast<std::uint16_t>(who.plan);
             taken.customer = {who.id};
             taken.units = its.units;
-            taken.gateways = s_.set;
-            taken.firstGateway = who.first;
-            taken.left = left - s_.oneWay;
-            taken.clientRepeat = its.tries > 1;
+            taken.gatewaySubsetSize = s_.set;
+            taken.gatewaySubsetStart = who.first;
+            taken.timeRemaining = left - s_.oneWay;
+            taken.isClientRetry = its.tries > 1;
             call.taken = true;
-            note(Step::taken, rank, id, 0, taken.left,
+            note(Step::taken, rank, id, 0, taken.timeRemaining,
                  s_.facts.routes[its.route].effect == Effect::nonIdempotent);
             tell(rank, taken);
         });
     }
 
-    void again(const std::shared_ptr<Wish> &wish, std::optional<Span> advice) {
+    void again(const std::shared_ptr<Wish> &wish, std::optional<Duration> advice) {
         if (wish->served || wish->tries > s_.retries) return;
-        const Span wait = advice.value_or(milliseconds(100)) + fromMs(chance_.exponential(50));
+        const Duration wait = advice.value_or(milliseconds(100)) + fromMs(chance_.exponential(50));
         agenda_.at(agenda_.now() + wait, [this, wish] { come(wish); });
     }
 
-    void answer(CallId id, bool served, bool refused, std::optional<Span> advice) {
+    void answer(CallId id, bool served, bool refused, std::optional<Duration> advice) {
         const auto found = calls_.find(id.value);
         if (found == calls_.end()) return;
         Call &call = found->second;
         note(Step::answered, call.gateway, id.value, 0);
         call.over = true;
         Wish &wish = *call.wish;
-        const Span took = agenda_.now() + s_.oneWay - wish.first;
+        const Duration took = agenda_.now() + s_.oneWay - wish.first;
         if (served && took <= s_.facts.routes[wish.route].latencyTarget) {
             ++report_.served;
             report_.latenciesMs.push_back(inMs(took));
@@ -582,7 +583,7 @@
 
     // ---- the record and the report ----
 
-    void note(Step step, unsigned gateway, std::uint64_t call, std::uint64_t node, Span patience = {},
+    void note(Step step, unsigned gateway, std::uint64_t call, std::uint64_t node, Duration patience = {},
               bool once = false) {
         record_.push_back({agenda_.now(), step, gateway, call, node, patience, once});
         if (step == Step::sent) callOf_[lastAttempt_] = call;
@@ -607,7 +608,7 @@
         unsigned gateway = 0;
         TryNumber number;
         WorkerId worker;
-        Span sentAt{};
+        Timestamp sentAt{};
         unsigned life = 0;
     };
 
@@ -615,7 +616,7 @@
     Chance chance_;
     Counter counter_;
     Agenda agenda_;
-    const Span start_ = seconds(1);
+    const Timestamp start_ = seconds(1);
     std::vector<Machine> nodes_;
     std::vector<Gateway> gateways_;
     std::vector<Customer> customers_;
--- a/src/lab/model/fleet.hpp
+++ b/src/lab/model/fleet.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <arrowstile/gatekeeper.hpp>
+#include <arrowstile/decision_engine.hpp>
 #include <string>
 
 #include "counter.hpp"
@@ -29,7 +29,8 @@
 
 struct Fault {
     FaultKind kind{};
-    Span at{}, length{};
+    Timestamp at{};
+    Duration length{};
     double part = 0;  ///< of nodes or gateways
     double size = 1;  ///< how many times slower, or more; the share that fails; milliseconds, of what is late
 };
@@ -50,17 +51,17 @@
 /// All that a run needs, checked before it starts.
 struct Scenario {
     std::string name;
-    SiteFacts facts;  ///< as a gatekeeper would be told; its rank is set by the run
+    EngineSettings facts;  ///< as a gatekeeper would be told; its rank is set by the run
     NodeSpec node;
     unsigned nodes = 14;
     CounterSpec counter;
-    Span oneWay = std::chrono::milliseconds(1), listLate = std::chrono::milliseconds(500);
+    Duration oneWay = std::chrono::milliseconds(1), listLate = std::chrono::milliseconds(500);
     std::vector<RouteTraffic> routes;
     std::vector<PlanTraffic> plans;
     double callsASecond = 200;
     unsigned set = 3, retries = 1;  ///< gateways of a customer; further tries of a client
     double uneven = 0;  ///< the n-th gateway of a customer's set gets 1 / n^uneven of what the first does
-    Span length = std::chrono::seconds(20);
+    Duration length = std::chrono::seconds(20);
     std::vector<Fault> faults;
     double leastShare = 0;  ///< of what could be served, for each route and plan; 0: not checked
 };
--- a/src/lab/model/node.cpp
+++ b/src/lab/model/node.cpp
@@ -16,19 +16,19 @@
     return std::min(count - 1, static_cast<std::size_t>(drawn) - 1);
 }
 
-double Node::capacity(Span now) const {
+double Node::capacity(Timestamp now) const {
     const double warm =
-        spec_.warmUp > Span{} ? std::clamp(inMs(now - startedAt_) / inMs(spec_.warmUp), 0.0, 1.0) : 1;
+        spec_.warmUp > Duration{} ? std::clamp(inMs(now - startedAt_) / inMs(spec_.warmUp), 0.0, 1.0) : 1;
     return spec_.coldShare + (1 - spec_.coldShare) * warm;
 }
 
-double Node::able(Span now) const {
+double Node::able(Timestamp now) const {
     if (!alive_ || silent_ || draining_) return 0;
     return capacity(now) * spec_.cores * spec_.speed / slower_;
 }
 
 /// All work that comes to a cold node counts against what it can do in the span, also what it turns away.
-void Node::push(Span now, double workMs) {
+void Node::push(Timestamp now, double workMs) {
     if (!cold(now) || spec_.fallMultiple <= 0) return;
     pushes_.emplace_back(now, workMs);
     pushed_ += workMs;
@@ -44,12 +44,12 @@
     }
 }
 
-void Node::begin(Span now, const Job &job) {
+void Node::begin(Timestamp now, const Job &job) {
     const double took = job.workMs / (spec_.speed * capacity(now)) * slower_;
     running_.push_back({now + fromMs(took), job, chance_.part() < failing_});
 }
 
-std::optional<Ended> Node::offer(Span now, const Job &job) {
+std::optional<Ended> Node::offer(Timestamp now, const Job &job) {
     push(now, job.workMs);
     if (!alive_) return std::nullopt;
     if (draining_) return Ended{job.id, Fate::turnedAway, false, queue()};
@@ -77,12 +77,12 @@
     std::erase_if(waiting_, [id](const Job &one) { return one.id == id; });
 }
 
-std::optional<Span> Node::next() const {
+std::optional<Timestamp> Node::next() const {
     if (running_.empty()) return std::nullopt;
     return std::ranges::min_element(running_, {}, &Running::until)->until;
 }
 
-std::vector<Ended> Node::ended(Span now) {
+std::vector<Ended> Node::ended(Timestamp now) {
     std::vector<Ended> out;
     while (alive_ && !running_.empty()) {
         const auto first = std::ranges::min_element(running_, {}, &Running::until);
--- a/src/lab/model/node.hpp
+++ b/src/lab/model/node.hpp
@@ -15,9 +15,9 @@
     double speed = 1;       ///< of one core; work is stated for speed 1
     unsigned waiting = 60;  ///< further jobs are turned away unseen
     double coldShare = 1;   ///< of its capacity at its start, rising evenly
-    Span warmUp{};
+    Duration warmUp{};
     double fallMultiple = 0;  ///< more than so many times what it can do, within any span: it falls over
-    Span fallSpan{};
+    Duration fallSpan{};
 };
 
 using JobId = Id<struct JobTag, std::uint64_t>;
@@ -28,7 +28,7 @@
     std::uint64_t call = 0;
     double workMs = 0;
     bool tokened = false;  ///< a repeat of this call within the window is dropped: answered, not run
-    Span window{};
+    Duration window{};
 };
 
 enum class Fate : std::uint8_t { answered, errored, turnedAway };
@@ -44,15 +44,15 @@
 /// what has ended; times must not go back.
 class Node {
 public:
-    Node(const NodeSpec &spec, Span startedAt, std::uint64_t seed)
+    Node(const NodeSpec &spec, Timestamp startedAt, std::uint64_t seed)
         : spec_(spec), chance_(seed), startedAt_(startedAt) {}
 
     /// Turned away at once, or nothing: the end comes from `ended`.
-    std::optional<Ended> offer(Span now, const Job &job);
+    std::optional<Ended> offer(Timestamp now, const Job &job);
     /// The caller no longer waits: a job that has not begun is not run any more.
     void callOff(JobId id);
-    std::optional<Span> next() const;
-    std::vector<Ended> ended(Span now);
+    std::optional<Timestamp> next() const;
+    std::vector<Ended> ended(Timestamp now);
 
     void drain() { draining_ = true; }
     /// Dies with all it holds; what ran has run.
@@ -62,37 +62,37 @@
     void failing(double share) { failing_ = share; }
 
     /// Work it can do a millisecond, for whoever may still send to it.
-    double able(Span now) const;
+    double able(Timestamp now) const;
 
     bool alive() const { return alive_; }
     bool fell() const { return fell_; }
     bool draining() const { return draining_; }
     bool isSilent() const { return silent_; }
-    bool cold(Span now) const { return now - startedAt_ < spec_.warmUp; }
-    Span startedAt() const { return startedAt_; }
+    bool cold(Timestamp now) const { return now - startedAt_ < spec_.warmUp; }
+    Timestamp startedAt() const { return startedAt_; }
     unsigned queue() const { return static_cast<unsigned>(waiting_.size()); }
     /// Largest share of what would push it over that any span has seen.
     double worstPush() const { return worstPush_; }
 
 private:
     struct Running {
-        Span until;
+        Timestamp until;
         Job job;
         bool fails = false;
     };
-    double capacity(Span now) const;
-    void begin(Span now, const Job &job);
-    void push(Span now, double workMs);
+    double capacity(Timestamp now) const;
+    void begin(Timestamp now, const Job &job);
+    void push(Timestamp now, double workMs);
 
     NodeSpec spec_;
     Chance chance_;
-    Span startedAt_{};
+    Timestamp startedAt_{};
     bool alive_ = true, fell_ = false, draining_ = false, silent_ = false;
     double slower_ = 1, failing_ = 0, pushed_ = 0, worstPush_ = 0;
     std::vector<Running> running_;
     std::deque<Job> waiting_;
-    std::deque<std::pair<Span, double>> pushes_;       // work that came while cold, within the last span
-    std::deque<std::pair<Span, std::uint64_t>> seen_;  // tokened calls, by the end of their window
+    std::deque<std::pair<Timestamp, double>> pushes_;       // work that came while cold, within the last span
+    std::deque<std::pair<Timestamp, std::uint64_t>> seen_;  // tokened calls, by the end of their window
     std::set<std::uint64_t> tokens_;
 };
 
--- a/src/lab/model/rules.cpp
+++ b/src/lab/model/rules.cpp
@@ -7,23 +7,25 @@
 namespace {
 
 struct Held {
-    Span due{};
+    Timestamp due{};
     unsigned gateway = 0, answers = 0, runs = 0;
     int out = 0;
     bool once = false, excused = false;
 };
 
-std::string where(const char *rule, std::uint64_t call, Span at, const char *what) {
+std::string where(const char *rule, std::uint64_t call, Timestamp at, const char *what) {
     return std::string(rule) + ": call " + std::to_string(call) + " at " + std::to_string(at.count() / 1000) +
            " ms, " + what;
 }
 
 }  // namespace
 
-std::vector<std::string> brokenRules(const std::vector<Line> &record, const RuleLimits &limits, Span end) {
+std::vector<std::string> brokenRules(const std::vector<Line> &record, const RuleLimits &limits,
+                                     Timestamp end) {
     std::vector<std::string> broken;
     std::map<std::uint64_t, Held> calls;
-    std::map<std::pair<unsigned, std::uint64_t>, Span> drains;  // gateway and node: since when it was told
+    // gateway and node: since when it was told
+    std::map<std::pair<unsigned, std::uint64_t>, Timestamp> drains;
     for (const Line &line : record) {
         Held &call = calls[line.call];
         switch (line.step) {
--- a/src/lab/model/starvation.cpp
+++ b/src/lab/model/starvation.cpp
@@ -7,7 +7,8 @@
 
 double sumOf(const std::vector<double> &spans) { return std::accumulate(spans.begin(), spans.end(), 0.0); }
 
-std::vector<std::string> starved(const std::vector<Fared> &groups, double least, double fewest, Span span) {
+std::vector<std::string> starved(const std::vector<Fared> &groups, double least, double fewest,
+                                 Duration span) {
     std::vector<std::string> found;
     for (const Fared &one : groups) {
         const double could = sumOf(one.could), served = sumOf(one.served);
--- a/src/lab/model/starvation.hpp
+++ b/src/lab/model/starvation.hpp
@@ -18,6 +18,7 @@
 
 /// Names each group that got less than `least` of what could have been served, with the span that it fared
 /// worst in. Groups of fewer calls than `fewest` say too little and are left out.
-std::vector<std::string> starved(const std::vector<Fared> &groups, double least, double fewest, Span span);
+std::vector<std::string> starved(const std::vector<Fared> &groups, double least, double fewest,
+                                 Duration span);
 
 }  // namespace arrowstile::lab
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -34,7 +34,7 @@
         return static_cast<unsigned>(*value);
     }
 
-    Span ms(const char *key, double otherwise, double least, double most) {
+    Duration ms(const char *key, double otherwise, double least, double most) {
         return fromMs(number(key, otherwise, least, most));
     }
 
@@ -135,12 +135,12 @@
      {"traffic-jump", FaultKind::trafficJump}}};
 
 void readFleet(Reader fleet, Scenario &s) {
-    s.facts.gateways = fleet.whole("gateways", 3, 1, mostOfList);
+    s.facts.gatewayCount = fleet.whole("gateways", 3, 1, mostOfList);
     s.nodes = fleet.whole("nodes", 14, 1, mostOfList);
     s.length = fromMs(1000 * fleet.number("seconds", 20, 1, 3600));
     s.callsASecond = fleet.number("calls_a_second", 200, 0.1, 20000);
-    s.set = fleet.whole("set", std::min(3u, s.facts.gateways), 1, mostOfList);
-    if (s.set > s.facts.gateways) fleet.fail(fleet.at("set"), "set", "no more than fleet.gateways");
+    s.set = fleet.whole("set", std::min(3u, s.facts.gatewayCount), 1, mostOfList);
+    if (s.set > s.facts.gatewayCount) fleet.fail(fleet.at("set"), "set", "no more than fleet.gateways");
     s.uneven = fleet.number("uneven", 0, 0, 4);
     s.retries = fleet.whole("retries", 1, 0, 10);
     fleet.done();
@@ -150,10 +150,10 @@
     s.node.cores = node.whole("cores", 3, 1, 256);
     s.node.speed = node.number("speed", 1, 0.01, 100);
     s.node.waiting = node.whole("waiting", 60, 0, 100000);
-    s.node.coldShare = s.facts.coldShare = node.number("cold_share", 1, 0.01, 1);
+    s.node.coldShare = s.facts.coldCapacityFraction = node.number("cold_share", 1, 0.01, 1);
     s.node.warmUp = s.facts.warmUp = node.ms("warm_up_ms", 0, 0, 600000);
-    s.node.fallMultiple = s.facts.fallMultiple = node.number("fall_multiple", 2, 1, 100);
-    s.node.fallSpan = s.facts.fallSpan = node.ms("fall_ms", 2000, 1, 60000);
+    s.node.fallMultiple = s.facts.coldOverloadFactor = node.number("fall_multiple", 2, 1, 100);
+    s.node.fallSpan = s.facts.coldOverloadWindow = node.ms("fall_ms", 2000, 1, 60000);
     node.done();
 }
 
@@ -167,7 +167,7 @@
         route.effect = from.oneOf("effect", effects);
         route.latencyTarget = from.ms("target_ms", 1000, 1, 600000);
         route.clientTimeout = from.ms("timeout_ms", 4000, 1, 600000);
-        route.repeatWindow = from.ms("window_ms", 8000, 0, 600000);
+        route.dedupWindow = from.ms("window_ms", 8000, 0, 600000);
         route.billedValue = from.number("value", 1, 0, 1e6);
         if (route.clientTimeout < route.latencyTarget)
             from.fail(from.at("timeout_ms"), "timeout_ms", "no less than target_ms");
@@ -195,7 +195,7 @@
         if (plan.burst > 0 && plan.burst < traffic.mostUnits)
             from.fail(from.at("burst"), "burst", "no less than most_units");
         from.done();
-        s.facts.mostUnits = std::max(s.facts.plans.empty() ? 1 : s.facts.mostUnits, traffic.mostUnits);
+        s.facts.maxUnits = std::max(s.facts.plans.empty() ? 1 : s.facts.maxUnits, traffic.mostUnits);
         s.plans.push_back(traffic);
         s.facts.plans.push_back(plan);
     }
@@ -214,7 +214,7 @@
         if (fault.at > s.length) from.fail(from.at("at_s"), "at_s", "a time within fleet.seconds");
         const bool ofMany = fault.kind >= FaultKind::nodesCrash && fault.kind <= FaultKind::connectsLate;
         const bool gateways = fault.kind == FaultKind::gatewaysKilled || fault.kind == FaultKind::listsLate;
-        const unsigned count = gateways ? s.facts.gateways : s.nodes;
+        const unsigned count = gateways ? s.facts.gatewayCount : s.nodes;
         if (ofMany && fault.part * count < 0.5)
             from.fail(from.at("part"), "part", "a part of at least one of the " + std::to_string(count));
         if (!ofMany && fault.part != 0)
@@ -248,7 +248,7 @@
     s.counter.perSecond = counter.number("calls_a_second", 1000, 1, 1e6);
     s.counter.waiting = counter.whole("waiting", 100, 1, 100000);
     s.counter.parts = counter.whole("parts", 1, 1, 64);
-    s.facts.countTimeout = counter.ms("timeout_ms", 50, 1, 10000);
+    s.facts.counterTimeout = counter.ms("timeout_ms", 50, 1, 10000);
     counter.done();
     readRoutes(top.tables("route", true), s);
     readPlans(top.tables("plan", true), s);
@@ -257,14 +257,14 @@
     s.leastShare = expect.number("least_share", 0, 0, 1);
     expect.done();
     top.done();
-    s.facts.mayCount = s.facts.mayCancel = s.facts.mayAdvise = true;
-    s.facts.mostTries = 5;
-    s.facts.longestAdvice = std::chrono::milliseconds(1000);
+    s.facts.mayUseCounter = s.facts.mayCancel = s.facts.maySendRetryAfter = true;
+    s.facts.maxTries = 5;
+    s.facts.maxRetryAfter = std::chrono::milliseconds(1000);
     s.facts.connectTimeout = std::chrono::milliseconds(250);
     s.facts.answerSlack = std::chrono::milliseconds(50);
     s.facts.drainGrace = std::chrono::milliseconds(250);
-    s.facts.loadColumns = {LoadFigure::waiting};
-    s.facts.reportWay = ReportWay::answers;
+    s.facts.loadColumns = {LoadMetric::queueLength};
+    s.facts.loadReportMode = LoadReportMode::inReplies;
     return s;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,9 +20,9 @@
 
 arrowstile::StartDocument readStartFile() {
     const char *path = std::getenv("EDGE_CONFIG");
-    if (path == nullptr) throw arrowstile::FactsError("EDGE_CONFIG names no start document");
+    if (path == nullptr) throw arrowstile::ConfigError("EDGE_CONFIG names no start document");
     std::ifstream file(path);
-    if (!file) throw arrowstile::FactsError("can't read the start document '" + std::string(path) + "'");
+    if (!file) throw arrowstile::ConfigError("can't read the start document '" + std::string(path) + "'");
     return arrowstile::readStart(std::string(std::istreambuf_iterator<char>(file), {}));
 }
 
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -15,20 +15,22 @@
 constexpr std::size_t longestCommand = resp::longestValue + 8 * 1024, leastBegun = 1024;
 // A connection that never sent a good command, and one with a command begun, get so long; the reader of an
 // error so long to fetch it before the rest of what it sends is cut off.
-constexpr Span sweepEvery = milliseconds(250), patience = milliseconds(2000), lastWord = milliseconds(300);
+constexpr Duration sweepEvery = milliseconds(250), patience = milliseconds(2000),
+                   lastWord = milliseconds(300);
 // A planned stop: new connections go on coming for a while; one closed before then would only come back.
-constexpr Span stillComing = milliseconds(500), noneCame = milliseconds(200), lookAgain = milliseconds(20);
+constexpr Duration stillComing = milliseconds(500), noneCame = milliseconds(200),
+                   lookAgain = milliseconds(20);
 // A client that was told of the end and keeps its side open is not waited for any longer; and the whole stop
 // ends before the kill, which comes 0.7 s after the longest patience at the soonest, with that counted as 3 s
 // at the most. Nobody usual comes after the first half second or so, whatever a crowd does. A client may be
 // more patient than that: what is owed then is answered while there is time to fetch it.
-constexpr Span mostPatience = milliseconds(3000), afterPatience = milliseconds(550),
-               comingMost = milliseconds(900), lastFetch = milliseconds(60);
+constexpr Duration mostPatience = milliseconds(3000), afterPatience = milliseconds(550),
+                   comingMost = milliseconds(900), lastFetch = milliseconds(60);
 
 }  // namespace
 
 struct Clients::Link final : Stream::Holder {
-    Link(Clients &clients, ClientId number, Span now, Span since)
+    Link(Clients &clients, ClientId number, Timestamp now, Timestamp since)
         : all(clients), id(number), lastUsed(now), openSince(since) {
         ++all.strangers_;
     }
@@ -57,7 +59,7 @@
             all.obey(*this, command);
             holdBack();
         }
-        openSince = Span::max();
+        openSince = Timestamp::max();
         if (ending) {
             stream->pause(true);  // an error needs none of what may still come
             used = bytes.size();
@@ -79,7 +81,7 @@
     }
 
     /// Whether it has kept us waiting too long, with nothing to wait for on our side.
-    bool overdue(Span now) const {
+    bool overdue(Timestamp now) const {
         if (finished) return now - lastUsed > lastWord;
         return (!known || begun > 0) && queue.waiting() == 0 && now - lastUsed > patience;
     }
@@ -103,7 +105,7 @@
     }
 
     /// Ends our sending: the client sees it between two answers, and what it wrote meanwhile it sends again.
-    void finish(Span now) {
+    void finish(Timestamp now) {
         if (std::exchange(finished, true)) return;
         ending = true;
         lastUsed = now;
@@ -124,7 +126,7 @@
     const ClientId id;
     Stream::Ptr stream;
     AnswerQueue queue;
-    Span lastUsed, openSince;  ///< the second until something was read
+    Timestamp lastUsed, openSince;  ///< the second until something was read
     std::size_t counted = 0, begun = 0;
     bool known = false, stranger = true;  ///< has sent a good command; has sent no API call
     bool paused = false, ending = false, finished = false;
@@ -154,8 +156,8 @@
                           });
     }
     if (error != 0) {
-        throw FactsError("can't listen on " + at.host + ":" + std::to_string(at.port) + ": " +
-                         uv_strerror(error));
+        throw ConfigError("can't listen on " + at.host + ":" + std::to_string(at.port) + ": " +
+                          uv_strerror(error));
     }
 }
 
@@ -169,7 +171,7 @@
         if (whom != Among::all && link.stranger != strangers) continue;
         if (strangers ? link.queue.waiting() > 0 : !link.idle()) continue;
         const bool older = oldest == links_.end() || link.lastUsed < oldest->second->lastUsed;
-        const bool mayStay = !strangers || link.openSince != Span::max();
+        const bool mayStay = !strangers || link.openSince != Timestamp::max();
         if (older && !(mayStay && link.stream->hasNews())) oldest = at;
     }
     if (oldest == links_.end()) return false;
@@ -179,7 +181,7 @@
 }
 
 void Clients::sweep() {
-    const Span now = around_.clock.now();
+    const Timestamp now = around_.clock.now();
     around_.alarms.set(now + sweepEvery, [this] { sweep(); });
     std::vector<ClientId> overdue;
     for (const auto &[id, link] : links_)
@@ -194,7 +196,7 @@
 /// usual clients; one that comes before strangers were read waits for that. Beyond all of them the one that
 /// has been idle longest makes room.
 void Clients::accept() {
-    const Span since = waits_ ? *waits_ : around_.readAt;
+    const Timestamp since = waits_ ? *waits_ : around_.readAt;
     waits_.reset();
     if (strangers_ >= around_.bounds.strangers && !letGo(Among::strangers)) {
         waits_ = since;
@@ -224,14 +226,14 @@
         if (wrong.empty()) {
             // It may have come at any time since the sockets were last read, or before its connection was
             // taken.
-            const Span now = around_.clock.now();
-            call.taken.left -= now - std::min(around_.readAt, link.openSince);
+            const Timestamp now = around_.clock.now();
+            call.taken.timeRemaining -= now - std::min(around_.readAt, link.openSince);
             const Place place = link.queue.open();
-            const CallTaken taken = call.taken;
+            const CallReceived taken = call.taken;
             const CallId id = book_.add(std::move(call), link.id, place);
             link.asked();
             around_.happened.emplace_back(taken);
-            std::get<CallTaken>(around_.happened.back()).call = id;
+            std::get<CallReceived>(around_.happened.back()).call = id;
             ++around_.tally.callsTaken;
             return;
         }
@@ -291,7 +293,7 @@
 void Clients::end(ClientId id) {
     for (const CallId call : book_.drop(id)) {
         ++around_.tally.clientsGone;
-        around_.happened.emplace_back(ClientGone{call});
+        around_.happened.emplace_back(CallAbandoned{call});
     }
     links_.erase(id);
 }
@@ -309,17 +311,17 @@
         for (const CallId call : book_.owed(id)) {
             answer(*book_.end(call), erroredAnswer());
             ++around_.tally.errored;
-            around_.happened.emplace_back(ClientGone{call});
+            around_.happened.emplace_back(CallAbandoned{call});
         }
     }
 }
 
 void Clients::leaveOn() {
-    const Span now = around_.clock.now();
+    const Timestamp now = around_.clock.now();
     closing_ = true;
     if (now - cameAt_ > noneCame || now - leftAt_ > comingMost) listener_.reset();
-    Span longest{};
-    for (const Route &route : around_.start.site.facts.routes)
+    Duration longest{};
+    for (const Route &route : around_.start.site.engine.routes)
         longest = std::max(longest, route.clientTimeout);
     longest = std::min(longest, mostPatience);
     std::erase_if(links_, [&](const auto &one) {
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -17,7 +17,7 @@
     Clients(Surroundings &around, CallBook &book);
     ~Clients();
 
-    /// Throws FactsError if the address can't be listened on.
+    /// Throws ConfigError if the address can't be listened on.
     void listen(const Address &at);
     void ready() { ready_ = true; }
     void answer(const InHand &ended, std::string text);
@@ -50,8 +50,8 @@
     std::set<ClientId> unflushed_;
     std::uint64_t lastId_ = 0;
     bool ready_ = false, leaving_ = false, closing_ = false;
-    Span leftAt_{}, cameAt_{};
-    std::optional<Span> waits_;  ///< since when one waits to be let in
+    Timestamp leftAt_{}, cameAt_{};
+    std::optional<Timestamp> waits_;  ///< since when one waits to be let in
 };
 
 }  // namespace arrowstile
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -13,21 +13,22 @@
 class Clock {
 public:
     Clock();
-    Span now();
+    Timestamp now();
 
 private:
-    Span offset_, corrected_;
+    Duration offset_;
+    Timestamp corrected_;
 };
 
 /// What is to be done at a time, in order of time and then of asking.
 class Alarms {
 public:
-    using Key = std::pair<Span, std::uint64_t>;
+    using Key = std::pair<Timestamp, std::uint64_t>;
 
-    Key set(Span due, std::function<void()> act);
+    Key set(Timestamp due, std::function<void()> act);
     void clear(Key key) { acts_.erase(key); }
-    std::optional<Span> next() const;
-    void run(Span now);
+    std::optional<Timestamp> next() const;
+    void run(Timestamp now);
 
 private:
     std::map<Key, std::function<void()>> acts_;
--- a/src/net/core/api_call.cpp
+++ b/src/net/core/api_call.cpp
@@ -37,7 +37,7 @@
 
 bool isApiCall(std::string_view verb) { return verb == askVerb || verb == doVerb; }
 
-std::string_view readApiCall(const resp::Command &command, const Site &site, ApiCall &call) {
+std::string_view readApiCall(const resp::Command &command, const Settings &site, ApiCall &call) {
     const auto &words = command.words;
     if (words.size() < 4 || words.size() > 5) return "wrong number of arguments";
     if (!readHex(words[1], call.taken.customer.value) || call.taken.customer.value >= customersEnd) {
@@ -45,7 +45,7 @@
     }
     if (words[2].empty() || words[2].size() > 64) return "no such id";
     const std::string_view list = words[3];
-    bool hasRoute = false, hasPlan = site.plans.empty(), hasPatience = false;
+    bool hasRoute = false, hasPlan = site.planNames.empty(), hasPatience = false;
     for (std::size_t at = 0; at <= list.size();) {
         const auto end = std::min(list.find(',', at), list.size());
         const auto item = list.substr(at, end - at);
@@ -53,33 +53,35 @@
         const auto name = item.substr(0, equals), value = item.substr(std::min(equals + 1, item.size()));
         double waitMs = 0;
         if (name == "c") {
-            if (!readName(site.routes, value, call.taken.route)) return "unknown class";
+            if (!readName(site.routeNames, value, call.taken.route)) return "unknown class";
             hasRoute = true;
         } else if (name == "t") {
-            if (!readName(site.plans, value, call.taken.plan)) return "unknown plan";
+            if (!readName(site.planNames, value, call.taken.plan)) return "unknown plan";
             hasPlan = true;
         } else if (name == "d") {
             if (!readReal(value, 0, longestWaitMs, waitMs)) return "bad time";
-            call.taken.left = Span{std::llround(waitMs * 1000)};
+            call.taken.timeRemaining = Duration{std::llround(waitMs * 1000)};
             call.before = list.substr(0, at + equals + 1);
             call.after = list.substr(end);
             hasPatience = true;
         } else if (name == "units") {
-            if (!readReal(value, 0, site.facts.mostUnits, call.taken.units) || call.taken.units <= 0)
+            if (!readReal(value, 0, site.engine.maxUnits, call.taken.units) || call.taken.units <= 0)
                 return "bad units";
         } else if (name == "spread") {
-            if (!readWhole(value, 1, site.facts.gateways, call.taken.gateways)) return "bad spread";
+            if (!readWhole(value, 1, site.engine.gatewayCount, call.taken.gatewaySubsetSize))
+                return "bad spread";
         } else if (name == "first") {
-            if (!readWhole(value, 0, site.facts.gateways - 1, call.taken.firstGateway)) return "bad first";
+            if (!readWhole(value, 0, site.engine.gatewayCount - 1, call.taken.gatewaySubsetStart))
+                return "bad first";
         } else if (name == "r") {
-            call.taken.clientRepeat = value == "1";
+            call.taken.isClientRetry = value == "1";
         }
         at = end + 1;
     }
     if (!hasRoute) return "no class";
     if (!hasPlan) return "no plan";
     if (!hasPatience) return "no time";
-    const bool asks = site.facts.routes[call.taken.route.value].effect == Effect::idempotent;
+    const bool asks = site.engine.routes[call.taken.route.value].effect == Effect::idempotent;
     if (asks != (words[0] == askVerb)) return "wrong command for this class";
     call.verb = words[0];
     call.customer = words[1];
@@ -89,7 +91,7 @@
     return {};
 }
 
-void ApiCall::addCommand(std::string &out, Span patience) const {
+void ApiCall::addCommand(std::string &out, Duration patience) const {
     resp::addArrayHead(out, hasBody ? 5 : 4);
     resp::addBulk(out, verb);
     resp::addBulk(out, customer);
--- a/src/net/core/call_book.cpp
+++ b/src/net/core/call_book.cpp
@@ -70,7 +70,7 @@
     return text;
 }
 
-std::string rateLimitAnswer(std::optional<Span> retryAfter) {
+std::string rateLimitAnswer(std::optional<Duration> retryAfter) {
     std::string text;
     const auto waitMs = retryAfter ? (retryAfter->count() + 999) / 1000 : 0;
     resp::addError(text, waitMs > 0 ? "BUSY " + std::to_string(waitMs) : "BUSY");
--- a/src/net/core/call_book.hpp
+++ b/src/net/core/call_book.hpp
@@ -63,7 +63,7 @@
 
 /// Final answers that this gatekeeper words itself.
 std::string proxiedAnswer(std::string_view value);
-std::string rateLimitAnswer(std::optional<Span> retryAfter);
+std::string rateLimitAnswer(std::optional<Duration> retryAfter);
 std::string erroredAnswer();
 
 }  // namespace arrowstile
--- a/src/net/core/start_document.cpp
+++ b/src/net/core/start_document.cpp
@@ -17,7 +17,7 @@
 
 Address neededIn(const json &from, const char *key) {
     const auto address = addressIn(from, key);
-    if (!address) throw FactsError("start document: '" + std::string(key) + "' is missing");
+    if (!address) throw ConfigError("start document: '" + std::string(key) + "' is missing");
     return *address;
 }
 
@@ -26,7 +26,7 @@
     std::uint64_t seed = 0;
     const auto end = text.data() + text.size();
     if (std::from_chars(text.data(), end, seed, 16).ptr != end) {
-        throw FactsError("start document: 'seed' is no hexadecimal number of 64 bits");
+        throw ConfigError("start document: 'seed' is no hexadecimal number of 64 bits");
     }
     return seed;
 }
@@ -35,7 +35,7 @@
 
 Address readAddress(std::string_view text, std::string_view whose) {
     const auto wrong = [&] {
-        return FactsError("'" + std::string(whose) + "' is '" + std::string(text) + "', not IPV4:PORT");
+        return ConfigError("'" + std::string(whose) + "' is '" + std::string(text) + "', not IPV4:PORT");
     };
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos || colon == 0) throw wrong();
@@ -68,9 +68,9 @@
         start.memoryMb = limits.value("memory_mb", start.memoryMb);
         if (all.contains("known") && all.at("known").is_object()) start.known = all.at("known").dump();
         start.settings = all.at("settings").dump();
-        start.site = readSite(start.settings);
+        start.site = readSettings(start.settings);
     } catch (const json::exception &error) {
-        throw FactsError(std::string("start document: ") + error.what());
+        throw ConfigError(std::string("start document: ") + error.what());
     }
     return start;
 }
--- a/src/net/core/start_document.hpp
+++ b/src/net/core/start_document.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <facts_json.hpp>
 #include <optional>
+#include <settings.hpp>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -15,7 +15,7 @@
     auto operator<=>(const Address &) const = default;
 };
 
-/// Throws FactsError, naming what the address is of.
+/// Throws ConfigError, naming what the address is of.
 Address readAddress(std::string_view text, std::string_view whose);
 
 /// All that a gatekeeper is told when it starts.
@@ -28,10 +28,10 @@
     unsigned sockets = 1024, memoryMb = 192;
     std::string settings;  ///< as they were written, to tell whether they changed
     std::string known;     ///< the list of workers as last seen, empty if there is none
-    Site site;
+    Settings site;
 };
 
-/// Throws FactsError with one line that says what is wrong.
+/// Throws ConfigError with one line that says what is wrong.
 StartDocument readStart(std::string_view text);
 
 }  // namespace arrowstile
--- a/src/net/core/targets.cpp
+++ b/src/net/core/targets.cpp
@@ -54,18 +54,18 @@
             Target target;
             target.entry.worker = idOf(one.at("name").get<std::string>());
             target.address = one.value("address", "");
-            target.entry.zone = placeOf<ZoneId>(site_.zones, one.value("zone", ""));
-            target.entry.kind = placeOf<KindId>(site_.kinds, one.value("type", ""));
-            target.entry.cell.value = static_cast<std::uint16_t>(one.value("group", 0u));
+            target.entry.zone = placeOf<ZoneId>(site_.zoneNames, one.value("zone", ""));
+            target.entry.type = placeOf<WorkerTypeId>(site_.workerTypeNames, one.value("type", ""));
+            target.entry.group.value = static_cast<std::uint16_t>(one.value("group", 0u));
             target.entry.state = stateOf(one.value("status", ""));
-            target.entry.size = one.value("weight", 1.0);
+            target.entry.weight = one.value("weight", 1.0);
             const auto since = std::clamp<std::int64_t>(one.value("since_ms", std::int64_t{0}), 0, latestMs);
             target.entry.startedAt = std::chrono::milliseconds(since);
             news.targets.push_back(std::move(target));
         }
         forget(news);
     } catch (const json::exception &error) {
-        throw FactsError(std::string("list of workers: ") + error.what());
+        throw ConfigError(std::string("list of workers: ") + error.what());
     }
     return news;
 }
--- a/src/net/core/targets.hpp
+++ b/src/net/core/targets.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <arrowstile/events.hpp>
-#include <facts_json.hpp>
 #include <map>
+#include <settings.hpp>
 #include <string>
 #include <string_view>
 
@@ -24,9 +24,9 @@
 /// one, also after a restart.
 class TargetReader {
 public:
-    explicit TargetReader(const Site &site) : site_(site) {}
+    explicit TargetReader(const Settings &site) : site_(site) {}
 
-    /// Throws FactsError on what is no such list.
+    /// Throws ConfigError on what is no such list.
     TargetNews read(std::string_view text);
 
     /// How many names are kept.
@@ -36,7 +36,7 @@
     WorkerId idOf(const std::string &name);
     void forget(const TargetNews &news);
 
-    const Site &site_;
+    const Settings &site_;
     std::map<std::string, WorkerId> ids_;
     std::map<WorkerId, std::string> names_;
 };
--- a/src/net/core/worker_reply.cpp
+++ b/src/net/core/worker_reply.cpp
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-std::vector<double> readLoad(std::string_view text, const Site &site) {
+std::vector<double> readLoad(std::string_view text, const Settings &site) {
     std::vector<double> load;
-    for (const std::string &column : site.loadColumns) {
+    for (const std::string &column : site.loadColumnNames) {
         auto value = figure(text, column);
         if (!value) value = figure(text, spelledOut(column));
         if (!value) return {};
@@ -56,7 +56,7 @@
     return known && begun.size() <= longest + besideValue;
 }
 
-WorkerReply readWorkerReply(const resp::Reply &reply, const Site &site) {
+WorkerReply readWorkerReply(const resp::Reply &reply, const Settings &site) {
     using Kind = resp::Reply::Kind;
     WorkerReply read;
     const auto &items = reply.items;
@@ -65,12 +65,12 @@
         read.value = items[0].text;
         if (items[1].kind == Kind::bulk) {
             if (const auto used = figure(items[1].text, "used")) read.meteredShare = *used / 100;
-            if (site.facts.unitsSettled) read.trueUnits = figure(items[1].text, "cost");
+            if (site.engine.hasActualUnits) read.trueUnits = figure(items[1].text, "cost");
         }
         if (items[2].kind == Kind::bulk) read.load = readLoad(items[2].text, site);
     } else if (reply.kind == Kind::error) {
         const auto word = reply.text.substr(0, reply.text.find(' '));
-        if (word == "BUSY") read.outcome = Outcome::full;
+        if (word == "BUSY") read.outcome = Outcome::overloaded;
         read.misspelt = word == "SYNTAX";
         const auto last = reply.text.rfind(' ');
         if (last != std::string_view::npos) read.load = readLoad(reply.text.substr(last + 1), site);
--- a/src/net/core/worker_reply.hpp
+++ b/src/net/core/worker_reply.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <arrowstile/events.hpp>
-#include <facts_json.hpp>
 #include <optional>
+#include <settings.hpp>
 #include <string_view>
 #include <vector>
 
@@ -20,12 +20,12 @@
     bool misspelt = false;  ///< the worker could not read what it was sent
 };
 
-WorkerReply readWorkerReply(const resp::Reply &reply, const Site &site);
+WorkerReply readWorkerReply(const resp::Reply &reply, const Settings &site);
 
 /// Whether what has come so far can still become a reply to an API call, with a value of `longest` at most.
 bool mayBeReply(std::string_view begun, std::size_t longest);
 
 /// A load report in the order of the site's columns, empty if the text is none.
-std::vector<double> readLoad(std::string_view text, const Site &site);
+std::vector<double> readLoad(std::string_view text, const Settings &site);
 
 }  // namespace arrowstile
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -11,11 +11,11 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t longestTotal = 256;
-constexpr Span sweepEvery = milliseconds(500), idleMost = milliseconds(4000);
+constexpr Duration sweepEvery = milliseconds(500), idleMost = milliseconds(4000);
 
 /// An answer with no number in it still says that the call had its turn: the amount was added.
 Outcome outcomeOf(const HttpAnswer &answer, double &total) {
-    if (answer.status == 503) return Outcome::full;
+    if (answer.status == 503) return Outcome::overloaded;
     if (answer.status == 400 || answer.status == 404) return Outcome::connectFailed;  // nothing was added
     const std::string_view body = answer.body;
     const auto from = std::min(body.find_first_not_of(" \r\n"), body.size());
@@ -64,7 +64,7 @@
     HttpAnswers answers;
     Stream::Ptr stream;
     CountName name;
-    Span sentAt{}, idleSince{};
+    Timestamp sentAt{}, idleSince{};
     Alarms::Key gives{};
     std::uint64_t written = 0;
     bool open = false, busy = false, late = false, closes = false, retired = false;
@@ -76,8 +76,8 @@
 
 Counter::~Counter() { links_.clear(); }
 
-void Counter::add(const AddCount &action) {
-    const Span now = around_.clock.now();
+void Counter::add(const AddToCount &action) {
+    const Timestamp now = around_.clock.now();
     auto free =
         std::find_if(links_.rbegin(), links_.rend(), [](const auto &one) { return one->open && !one->busy; });
     Link *link = nullptr;
@@ -98,7 +98,7 @@
     const int size =
         std::snprintf(target, sizeof target, "/v2/numbers/%016llx?delta=%.9g&life_ms=%lld",
                       static_cast<unsigned long long>(action.name.value), action.amount,
-                      static_cast<long long>(std::max<std::int64_t>(1, action.keep.count() / 1000)));
+                      static_cast<long long>(std::max<std::int64_t>(1, action.lifetime.count() / 1000)));
     const Address &at = *around_.start.counter;
     const std::string text = httpRequest("POST", std::string_view(target, static_cast<std::size_t>(size)),
                                          at.host + ":" + std::to_string(at.port));
@@ -107,7 +107,7 @@
     link->name = action.name;
     link->sentAt = now;
     link->busy = true;
-    link->gives = around_.alarms.set(now + action.wait, [this, link] {
+    link->gives = around_.alarms.set(now + action.timeout, [this, link] {
         const bool seen = link->open && link->stream->sent() >= link->written;
         if (!seen) return drop(*link, false);
         link->late = true;
@@ -143,9 +143,9 @@
     ended(kept->name, kept->sentAt, answered ? Outcome::errored : unseen, 0);
 }
 
-void Counter::ended(CountName name, Span sentAt, Outcome outcome, double total) {
+void Counter::ended(CountName name, Timestamp sentAt, Outcome outcome, double total) {
     ++(outcome == Outcome::answered ? around_.tally.countsAnswered : around_.tally.countsLost);
-    around_.happened.emplace_back(CountAnswered{name, outcome, total, around_.clock.now() - sentAt});
+    around_.happened.emplace_back(AddToCountEnded{name, outcome, total, around_.clock.now() - sentAt});
 }
 
 void Counter::flush() {
@@ -153,7 +153,7 @@
 }
 
 void Counter::sweep() {
-    const Span now = around_.clock.now();
+    const Timestamp now = around_.clock.now();
     around_.alarms.set(now + sweepEvery, [this] { sweep(); });
     std::erase_if(
         links_, [&](const auto &one) { return one->open && !one->busy && now - one->idleSince > idleMost; });
--- a/src/net/counter.hpp
+++ b/src/net/counter.hpp
@@ -17,7 +17,7 @@
     explicit Counter(Surroundings &around);
     ~Counter();
 
-    void add(const AddCount &action);
+    void add(const AddToCount &action);
     void flush();
     /// The address has changed: calls under way end on their connections, which then are given back.
     void move();
@@ -27,7 +27,7 @@
 
     Link *connect();
     void drop(Link &link, bool answered);
-    void ended(CountName name, Span sentAt, Outcome outcome, double total);
+    void ended(CountName name, Timestamp sentAt, Outcome outcome, double total);
     void sweep();
 
     Surroundings &around_;
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -6,9 +6,9 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t longestList = 16 * 1024 * 1024;
-constexpr Span wait = milliseconds(10000), firstWait = milliseconds(1), beyondWait = milliseconds(1500),
-               callMost = milliseconds(2000);
-constexpr Span againAfter = milliseconds(100);  // a later call would begin a new watch
+constexpr Duration wait = milliseconds(10000), firstWait = milliseconds(1), beyondWait = milliseconds(1500),
+                   callMost = milliseconds(2000);
+constexpr Duration againAfter = milliseconds(100);  // a later call would begin a new watch
 
 }  // namespace
 
@@ -19,7 +19,7 @@
     const TargetNews news = reader_.read(list);
     version_ = news.version;
     hasList_ = true;
-    heard_(news, ListNews::cached);
+    heard_(news, WorkerListKind::cached);
 }
 
 void Discovery::follow(bool on) {
@@ -88,8 +88,8 @@
         if (askedWhole_) wholeWanted_ = false;
         ++around_.tally.lists;
         if (!broken_) call();  // the next watch first: what is told between two counts as told
-        heard_(news, news.whole ? ListNews::full : ListNews::changes);
-    } catch (const FactsError &error) {
+        heard_(news, news.whole ? WorkerListKind::snapshot : WorkerListKind::delta);
+    } catch (const ConfigError &error) {
         around_.log.warning(error.what());
         broken_ = true;
     }
@@ -100,7 +100,8 @@
     around_.alarms.clear(alarm_);
     const bool told = std::exchange(out_, false);
     stream_.reset();
-    if (told && around_.start.site.facts.listWay == ListWay::asked) heard_({}, ListNews::failed);
+    if (told && around_.start.site.engine.discoveryMode == DiscoveryMode::onRequest)
+        heard_({}, WorkerListKind::failed);
     alarm_ = around_.alarms.set(around_.clock.now() + againAfter, [this] { call(); });
 }
 
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -12,7 +12,7 @@
 /// The side that faces discovery: a watch that never ends, and whole lists when they are asked for.
 class Discovery final : Stream::Holder {
 public:
-    using Heard = std::function<void(TargetNews, ListNews how)>;
+    using Heard = std::function<void(TargetNews, WorkerListKind how)>;
 
     Discovery(Surroundings &around, Heard heard);
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -9,28 +9,28 @@
 using std::chrono::milliseconds;
 
 // A start is ready with discovery's first answer; with a list from before, no later than this.
-constexpr Span readyMost = milliseconds(1000);
+constexpr Duration readyMost = milliseconds(1000);
 constexpr int mostRounds = 8;
-constexpr Span oversleep = milliseconds(5);
+constexpr Duration oversleep = milliseconds(5);
 
 }  // namespace
 
 Gateway::Gateway(uv_loop_t *loop, StartDocument start, Log &log, std::function<StartDocument()> reread)
     : around_{.loop = loop, .start = std::move(start), .log = log},
       reread_(std::move(reread)),
-      keeper_(around_.start.site.facts, around_.start.seed),
+      keeper_(around_.start.site.engine, around_.start.seed),
       clients_(around_, book_),
       workers_(
           around_, [this](CallId call, std::string_view value) { answered(call, value); },
           [this](CallId call) { return book_.find(call) == nullptr; }),
       counter_(around_),
       discovery_(around_,
-                 [this](const TargetNews &news, ListNews how) {
+                 [this](const TargetNews &news, WorkerListKind how) {
                      workers_.list(news);
-                     WorkerListed listed{how, news.version, {}};
+                     WorkerListUpdated listed{how, news.version, {}};
                      for (const Target &target : news.targets) listed.workers.push_back(target.entry);
                      around_.happened.emplace_back(std::move(listed));
-                     if (how == ListNews::full || how == ListNews::changes) clients_.ready();
+                     if (how == WorkerListKind::snapshot || how == WorkerListKind::delta) clients_.ready();
                  }),
       peers_(around_),
       before_(new uv_prepare_t),
@@ -108,7 +108,7 @@
         if (discovery) discovery_.move();
         ++around_.tally.reloads;
         around_.log.info("reloaded");
-    } catch (const FactsError &error) {
+    } catch (const ConfigError &error) {
         around_.log.error("reload: ", error.what(), "; all stays as it was");
     }
 }
@@ -116,7 +116,7 @@
 /// Comes after the sockets were read: an answer that was there in time is not given up by an alarm, however
 /// long the machine stood still.
 void Gateway::turn() {
-    const Span now = around_.clock.now();
+    const Timestamp now = around_.clock.now();
     // A loop that was stopped in its sleep comes back without having read: it looks once more before any
     // alarm.
     overslept_ = now > wakeBy_ + oversleep && !overslept_;
@@ -136,8 +136,8 @@
     events_.clear();
     events_.swap(around_.happened);
     std::ranges::stable_partition(
-        events_, [](const Event &event) { return std::holds_alternative<WorkerListed>(event); });
-    const Span now = around_.clock.now();
+        events_, [](const Event &event) { return std::holds_alternative<WorkerListUpdated>(event); });
+    const Timestamp now = around_.clock.now();
     actions_.clear();
     for (const Event &event : events_)
         std::ranges::move(keeper_.handle(now, event), std::back_inserter(actions_));
@@ -148,9 +148,9 @@
 
 /// Lets the loop sleep no longer than until the next alarm, and not at all with something left to hand over.
 void Gateway::wake() {
-    const auto next = around_.happened.empty() ? around_.alarms.next() : std::optional(Span{});
+    const auto next = around_.happened.empty() ? around_.alarms.next() : std::optional(Timestamp{});
     if (!next) return;
-    const Span now = around_.clock.now();
+    const Timestamp now = around_.clock.now();
     const std::int64_t left = (*next - now).count();
     wakeBy_ = std::max(now, *next);
     uv_update_time(around_.loop);
@@ -172,14 +172,14 @@
     workers_.send(action, number, held->call);
 }
 
-void Gateway::carry(const RateLimit &action) {
+void Gateway::carry(const AnswerRateLimited &action) {
     const auto ended = book_.end(action.call);
     if (!ended) return;
     ++around_.tally.rateLimited;
     clients_.answer(*ended, rateLimitAnswer(action.retryAfter));
 }
 
-void Gateway::carry(const GiveError &action) {
+void Gateway::carry(const AnswerErrored &action) {
     const auto ended = book_.end(action.call);
     if (!ended) return;
     ++around_.tally.errored;
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <arrowstile/gatekeeper.hpp>
+#include <arrowstile/decision_engine.hpp>
 #include <functional>
 #include <memory>
 
@@ -18,7 +18,7 @@
 /// comes back.
 class Gateway {
 public:
-    /// `reread` is asked for the start document again on SIGHUP; it throws FactsError if that can't be used.
+    /// `reread` is asked for the start document again on SIGHUP; it throws ConfigError if that can't be used.
     Gateway(uv_loop_t *loop, StartDocument start, Log &log, std::function<StartDocument()> reread);
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
@@ -44,28 +44,28 @@
     void answered(CallId call, std::string_view value);
 
     void carry(const SendTry &action);
-    void carry(const RateLimit &action);
-    void carry(const GiveError &action);
-    void carry(const CallOffTry &action) { workers_.callOff(action.call, action.attempt); }
+    void carry(const AnswerRateLimited &action);
+    void carry(const AnswerErrored &action);
+    void carry(const CancelTry &action) { workers_.callOff(action.call, action.tryNumber); }
     void carry(const SetTimer &action);
     void carry(const ProbeWorker &action) { workers_.probe(action.worker); }
-    void carry(const CloseIdle &action) { workers_.closeIdle(action.worker); }
-    void carry(const TellPeers &action) { peers_.tell(action); }
-    void carry(const AddCount &action) { counter_.add(action); }
-    void carry(const FollowList &action) { discovery_.follow(action.on); }
-    void carry(const FetchList &) { discovery_.fetch(); }
-    void carry(const Note &action) { around_.log.info(action.text); }
+    void carry(const CloseIdleConnections &action) { workers_.closeIdle(action.worker); }
+    void carry(const SendPeerMessage &action) { peers_.tell(action); }
+    void carry(const AddToCount &action) { counter_.add(action); }
+    void carry(const WatchWorkerList &action) { discovery_.follow(action.enabled); }
+    void carry(const FetchWorkerList &) { discovery_.fetch(); }
+    void carry(const WriteLog &action) { around_.log.info(action.text); }
 
     Surroundings around_;
     std::function<StartDocument()> reread_;
-    Gatekeeper keeper_;
+    DecisionEngine keeper_;
     CallBook book_;
     Clients clients_;
     Workers workers_;
     Counter counter_;
     Discovery discovery_;
     Peers peers_;
-    Span wakeBy_{};
+    Timestamp wakeBy_{};
     bool overslept_ = false;
     std::vector<Event> events_;
     std::vector<Action> actions_;
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -23,13 +23,13 @@
 }
 
 void Peers::listen() {
-    if (!around_.start.peerListen || !around_.start.site.facts.mayTellPeers) return;
+    if (!around_.start.peerListen || !around_.start.site.engine.maySendPeerMessages) return;
     socket_.reset(new uv_udp_t);
     uv_udp_init(around_.loop, socket_.get());
     socket_->data = this;
     const sockaddr_in at = socketAddress(*around_.start.peerListen);
     const int error = uv_udp_bind(socket_.get(), reinterpret_cast<const sockaddr *>(&at), 0);
-    if (error != 0) throw FactsError(std::string("can't bind 'peer_listen': ") + uv_strerror(error));
+    if (error != 0) throw ConfigError(std::string("can't bind 'peer_listen': ") + uv_strerror(error));
     uv_udp_recv_start(
         socket_.get(),
         [](uv_handle_t *handle, std::size_t, uv_buf_t *buffer) {
@@ -51,12 +51,12 @@
         peers, [&](const Address &address) { return sameAddress(socketAddress(address), from); });
     if (peer == peers.end() || bytes.size() > longestMessage) return;
     ++around_.tally.peerMessagesIn;
-    PeerHeard heard{{static_cast<std::uint32_t>(peer - peers.begin())}, {}};
+    PeerMessageReceived heard{{static_cast<std::uint32_t>(peer - peers.begin())}, {}};
     for (const char byte : bytes) heard.bytes.push_back(static_cast<std::byte>(byte));
     around_.happened.emplace_back(std::move(heard));
 }
 
-void Peers::tell(const TellPeers &message) {
+void Peers::tell(const SendPeerMessage &message) {
     const auto &peers = around_.start.peers;
     if (!socket_ || message.bytes.size() > longestMessage) return;
     if (message.peer ? message.peer->value >= peers.size() : !around_.start.peersAll) return;
--- a/src/net/peers.hpp
+++ b/src/net/peers.hpp
@@ -11,9 +11,9 @@
 public:
     explicit Peers(Surroundings &around);
 
-    /// Throws FactsError if the address can't be bound.
+    /// Throws ConfigError if the address can't be bound.
     void listen();
-    void tell(const TellPeers &message);
+    void tell(const SendPeerMessage &message);
 
 private:
     struct Close {
--- a/src/net/surroundings.hpp
+++ b/src/net/surroundings.hpp
@@ -24,7 +24,7 @@
     Alarms alarms{};
     Tally tally{};
     std::vector<Event> happened{};  ///< since the decisions were last asked
-    Span readAt{};                  ///< when sockets were last read: what is read now has come since
+    Timestamp readAt{};             ///< when sockets were last read: what is read now has come since
 };
 
 }  // namespace arrowstile
--- a/src/net/workers.cpp
+++ b/src/net/workers.cpp
@@ -8,12 +8,12 @@
 
 using std::chrono::milliseconds;
 
-constexpr Span sweepEvery = milliseconds(500);
+constexpr Duration sweepEvery = milliseconds(500);
 // A worker's machine may close an idle connection sooner than the settings say, and what crosses that close
 // may have run: ours are given back well before, in this part of the time.
 // They may also close them sooner on some days: then in that part of the least time seen, which grows again.
 constexpr int idlePart = 2, idleGrows = 100;
-constexpr Span leastIdle = milliseconds(20);  // sooner is no idling: some answers end their connection
+constexpr Duration leastIdle = milliseconds(20);  // sooner is no idling: some answers end their connection
 
 const char *nameOf(Outcome outcome) {
     static constexpr const char *names[] = {"answered",    "errored", "full",       "timed out",
@@ -29,14 +29,15 @@
     CallId call;
     TryNumber number;
     bool probe = false;
-    Span sentAt{}, patience{};
+    Timestamp sentAt{};
+    Duration patience{};
     std::uint64_t lastByte = 0;  // of what its connection has sent
     Alarms::Key alarm{};
 };
 
 struct Workers::Pool {
     Address address;
-    Span startedAt{};
+    Timestamp startedAt{};
     bool ready = false, gone = false, reachable = false;
     std::vector<std::unique_ptr<Link>> links;  // the one used last stands last
 };
@@ -58,8 +59,8 @@
     std::size_t spoilt();
 
     void onClosed() override {
-        const Span until = out.empty() ? all.around_.clock.now() : out.front().sentAt;
-        if (open && idleSince > Span{} && !heard) all.closedAfter(until - idleSince);
+        const Timestamp until = out.empty() ? all.around_.clock.now() : out.front().sentAt;
+        if (open && idleSince > Timestamp{} && !heard) all.closedAfter(until - idleSince);
         all.drop(*this, Outcome::reset);
     }
 
@@ -69,7 +70,7 @@
     std::deque<Out> out;
     std::uint64_t written = 0;
     std::size_t begun = 0;  ///< bytes of a reply that is not whole
-    Span idleSince{};
+    Timestamp idleSince{};
     Alarms::Key comesUp{};
     bool open = false, heard = false;  ///< heard: anything since it was last idle
 };
@@ -78,7 +79,7 @@
     : around_(around),
       answered_(std::move(answered)),
       isOver_(std::move(isOver)),
-      idleMost_(around.start.site.idleLimit / idlePart) {
+      idleMost_(around.start.site.workerIdleTimeout / idlePart) {
     around_.alarms.set(around_.clock.now() + sweepEvery, [this] { sweep(); });
 }
 
@@ -98,7 +99,7 @@
             try {
                 address = readAddress(target.address, "address of a worker");
                 pool.reachable = true;
-            } catch (const FactsError &error) {
+            } catch (const ConfigError &error) {
                 around_.log.warning(error.what());
                 pool.reachable = false;
             }
@@ -123,9 +124,9 @@
 void Workers::send(const SendTry &action, TryNumber number, const ApiCall &call) {
     const auto found = pools_.find(action.worker);
     if (found == pools_.end()) return notSent(action, number);
-    const Span now = around_.clock.now();
-    Out out{action.worker, action.call, number, false, now, action.notPast - now};
-    if (out.patience <= Span{}) return ended(out, Outcome::notSent, nullptr);
+    const Timestamp now = around_.clock.now();
+    Out out{action.worker, action.call, number, false, now, action.deadline - now};
+    if (out.patience <= Duration{}) return ended(out, Outcome::notSent, nullptr);
     std::string command;
     call.addCommand(command, out.patience);
     put(found->second, action.worker, out, std::move(command));
@@ -133,11 +134,11 @@
 
 void Workers::probe(WorkerId worker) {
     const auto found = pools_.find(worker);
-    const Span now = around_.clock.now();
-    Out out{worker, {}, {}, true, now, around_.start.site.facts.connectTimeout};
+    const Timestamp now = around_.clock.now();
+    Out out{worker, {}, {}, true, now, around_.start.site.engine.connectTimeout};
     if (found == pools_.end()) return ended(out, Outcome::connectFailed, nullptr);
     std::string command;
-    const bool wantsLoad = around_.start.site.facts.reportWay == ReportWay::probes;
+    const bool wantsLoad = around_.start.site.engine.loadReportMode == LoadReportMode::byProbe;
     resp::addArrayHead(command, wantsLoad ? 2 : 1);
     resp::addBulk(command, wantsLoad ? "INFO" : "PING");
     if (wantsLoad) resp::addBulk(command, "load");
@@ -156,7 +157,7 @@
     } else {
         const auto least = std::ranges::min_element(
             pool.links, {}, [](const auto &one) { return std::pair(!one->open, one->out.size()); });
-        if (least == pool.links.end() || (*least)->out.size() >= around_.start.site.triesPerConnection) {
+        if (least == pool.links.end() || (*least)->out.size() >= around_.start.site.maxTriesPerConnection) {
             return ended(out, Outcome::notSent, nullptr);
         }
         link = least->get();
@@ -200,7 +201,7 @@
     link->stream = Stream::connect(around_.loop, pool.address, link);
     if (!link->stream) return nullptr;
     ++around_.tally.workerConnections;
-    link->comesUp = around_.alarms.set(around_.clock.now() + around_.start.site.facts.connectTimeout,
+    link->comesUp = around_.alarms.set(around_.clock.now() + around_.start.site.engine.connectTimeout,
                                        [this, link] { drop(*link, Outcome::connectFailed); });
     pool.links.push_back(std::move(made));
     return link;
@@ -282,14 +283,14 @@
     switch (outcome) {
         case Outcome::answered: ++tally.triesAnswered; break;
         case Outcome::errored: ++tally.triesErrored; break;
-        case Outcome::full: ++tally.triesFull; break;
+        case Outcome::overloaded: ++tally.triesFull; break;
         case Outcome::timedOut: ++tally.triesTimedOut; break;
         case Outcome::connectFailed: ++tally.triesUnconnected; break;
         case Outcome::reset: ++tally.triesReset; break;
-        case Outcome::calledOff: ++tally.triesCalledOff; break;
+        case Outcome::cancelled: ++tally.triesCalledOff; break;
         case Outcome::notSent: ++tally.triesNotSent; break;
     }
-    const Span took = around_.clock.now() - out.sentAt;
+    const Duration took = around_.clock.now() - out.sentAt;
     const std::vector<double> load = reply != nullptr ? reply->load : std::vector<double>{};
     if (out.probe) {
         around_.happened.emplace_back(ProbeEnded{out.worker, outcome, took, load});
@@ -303,12 +304,12 @@
     }
     TryEnded event{out.call, out.number, out.worker, outcome, took, false, {}, {}, load};
     if (outcome == Outcome::answered) {
-        event.meteredShare = reply->meteredShare;
-        event.trueUnits = reply->trueUnits;
+        event.rateUsedFraction = reply->meteredShare;
+        event.actualUnits = reply->trueUnits;
         answered_(out.call, reply->value);
-        event.callClosed = true;
+        event.isCallClosed = true;
     } else {
-        event.callClosed = isOver_(out.call);
+        event.isCallClosed = isOver_(out.call);
     }
     around_.happened.emplace_back(std::move(event));
 }
@@ -324,13 +325,13 @@
             around_.alarms.clear(given.alarm);
             link->out.erase(found);
             drop(*link, Outcome::reset);
-            return ended(given, Outcome::calledOff, nullptr);
+            return ended(given, Outcome::cancelled, nullptr);
         }
     }
 }
 
 /// A worker's machine ended a connection that had stood idle for so long.
-void Workers::closedAfter(Span idle) {
+void Workers::closedAfter(Duration idle) {
     if (idle >= leastIdle) idleMost_ = std::min(idleMost_, idle / idlePart);
 }
 
@@ -353,11 +354,12 @@
 }
 
 void Workers::sweep() {
-    const Span now = around_.clock.now(), most = idleMost_;
-    idleMost_ = std::min(around_.start.site.idleLimit / idlePart, idleMost_ + idleMost_ / idleGrows);
+    const Timestamp now = around_.clock.now();
+    const Duration most = idleMost_;
+    idleMost_ = std::min(around_.start.site.workerIdleTimeout / idlePart, idleMost_ + idleMost_ / idleGrows);
     around_.alarms.set(now + sweepEvery, [this] { sweep(); });
     for (auto &[id, pool] : pools_) {
-        if (most <= Span{}) break;
+        if (most <= Duration{}) break;
         std::erase_if(pool.links, [&](const auto &one) {
             return one->open && one->out.empty() && now - one->idleSince > most;
         });
--- a/src/net/workers.hpp
+++ b/src/net/workers.hpp
@@ -44,7 +44,7 @@
     void drop(Link &link, Outcome rest);
     void ended(const Out &out, Outcome outcome, const WorkerReply *reply);
     void sweep();
-    void closedAfter(Span idle);
+    void closedAfter(Duration idle);
 
     Surroundings &around_;
     Answered answered_;
@@ -52,7 +52,7 @@
     std::map<WorkerId, Pool> pools_;
     std::set<Link *> unflushed_;
     std::size_t links_ = 0, begun_ = 0;
-    Span idleMost_;  ///< so long a connection may stand idle before we give it back
+    Duration idleMost_;  ///< so long a connection may stand idle before we give it back
 };
 
 }  // namespace arrowstile
--- a/src/simhost/host.cpp
+++ b/src/simhost/host.cpp
@@ -3,7 +3,7 @@
 #include <istream>
 #include <ostream>
 
-#include "facts_json.hpp"
+#include "settings.hpp"
 
 namespace arrowstile::simhost {
 namespace {
@@ -26,8 +26,8 @@
     Reply reply;
     for (const auto &[instance, what] : batch.happenings) {
         if (const auto *started = std::get_if<Started>(&what)) {
-            gatekeepers_.insert_or_assign(instance,
-                                          Gatekeeper(readSite(started->settings).facts, started->seed));
+            gatekeepers_.insert_or_assign(
+                instance, DecisionEngine(readSettings(started->settings).engine, started->seed));
         } else if (std::holds_alternative<Stopped>(what)) {
             gatekeepers_.erase(instance);
         } else if (const auto found = gatekeepers_.find(instance); found == gatekeepers_.end()) {
--- a/src/simhost/host.hpp
+++ b/src/simhost/host.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <arrowstile/gatekeeper.hpp>
+#include <arrowstile/decision_engine.hpp>
 #include <iosfwd>
 #include <map>
 
@@ -13,7 +13,7 @@
     Reply answer(const Batch &batch);
 
 private:
-    std::map<InstanceNumber, Gatekeeper> gatekeepers_;
+    std::map<InstanceNumber, DecisionEngine> gatekeepers_;
 };
 
 /// Serves frames until the input ends; the result is the exit code of the program.
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -10,14 +10,14 @@
 constexpr std::uint32_t everyPeer = std::numeric_limits<std::uint32_t>::max();
 constexpr std::size_t longestNote = std::numeric_limits<std::uint16_t>::max();
 
-Span spanOf(double milliseconds) {
+Duration spanOf(double milliseconds) {
     if (!std::isfinite(milliseconds) || std::abs(milliseconds) > 1e13) {
         throw WireError("a time that is no sensible number");
     }
-    return Span{std::llround(milliseconds * 1000)};
+    return Duration{std::llround(milliseconds * 1000)};
 }
 
-double millisecondsOf(Span span) { return static_cast<double>(span.count()) / 1000; }
+double millisecondsOf(Duration span) { return static_cast<double>(span.count()) / 1000; }
 
 class Reader {
 public:
@@ -37,7 +37,7 @@
 
     double real32() { return std::bit_cast<float>(number<std::uint32_t>()); }
     double real64() { return std::bit_cast<double>(number<std::uint64_t>()); }
-    Span span() { return spanOf(real64()); }
+    Duration span() { return spanOf(real64()); }
 
     std::string_view take(std::size_t count) {
         if (count > bytes_.size() - at_) {
@@ -70,36 +70,36 @@
     switch (const auto code = in.number<std::uint16_t>()) {
         case 100: return Outcome::answered;
         case 301: return Outcome::errored;
-        case 302: return Outcome::full;
+        case 302: return Outcome::overloaded;
         case 303: return Outcome::timedOut;
         case 304: return Outcome::connectFailed;
         case 305: return Outcome::reset;
-        case 306: return Outcome::calledOff;
+        case 306: return Outcome::cancelled;
         case 307: return Outcome::notSent;
         default: throw WireError("unknown outcome " + std::to_string(code));
     }
 }
 
 Event readUpdate(Reader &in) {
-    WorkerListed news;
+    WorkerListUpdated news;
     const auto how = in.number<std::uint8_t>();
     if (how > 3) {
         throw WireError("unknown kind of list " + std::to_string(how));
     }
-    news.how = static_cast<ListNews>(how);
+    news.kind = static_cast<WorkerListKind>(how);
     news.version = in.number<std::uint64_t>();
     for (auto left = in.number<std::uint32_t>(); left > 0; --left) {
         WorkerEntry entry;
         entry.worker = readId<WorkerId>(in);
         entry.zone = readId<ZoneId>(in);
-        entry.kind = readId<KindId>(in);
-        entry.cell = readId<CellId>(in);
+        entry.type = readId<WorkerTypeId>(in);
+        entry.group = readId<WorkerGroupId>(in);
         const auto state = in.number<std::uint8_t>();
         if (state > 2) {
             throw WireError("unknown state of a worker " + std::to_string(state));
         }
         entry.state = static_cast<WorkerState>(state);
-        entry.size = in.real32();
+        entry.weight = in.real32();
         entry.startedAt = in.span();
         news.workers.push_back(entry);
     }
@@ -107,17 +107,17 @@
 }
 
 Event readWorkItem(Reader &in) {
-    CallTaken taken;
+    CallReceived taken;
     taken.call = readId<CallId>(in);
-    taken.firstGateway = static_cast<unsigned>(std::max(0.0, in.real32()));
-    taken.left = in.span();
+    taken.gatewaySubsetStart = static_cast<unsigned>(std::max(0.0, in.real32()));
+    taken.timeRemaining = in.span();
     taken.plan = readId<PlanId>(in);
     taken.units = in.real32();
-    taken.gateways = static_cast<unsigned>(std::max(0.0, in.real32()));
+    taken.gatewaySubsetSize = static_cast<unsigned>(std::max(0.0, in.real32()));
     taken.route = readId<RouteId>(in);
     const auto bits = in.number<std::uint16_t>();
-    taken.clientRepeat = (bits & 2) != 0;
-    taken.write = (bits & 4) != 0;
+    taken.isClientRetry = (bits & 2) != 0;
+    taken.isWrite = (bits & 4) != 0;
     taken.customer = readId<CustomerId>(in);
     return taken;
 }
@@ -125,16 +125,16 @@
 Event readDone(Reader &in) {
     TryEnded ended;
     ended.call = readId<CallId>(in);
-    ended.attempt = readId<TryNumber>(in);
+    ended.tryNumber = readId<TryNumber>(in);
     ended.worker = readId<WorkerId>(in);
     ended.outcome = readOutcome(in);
     ended.latency = in.span();
-    ended.callClosed = in.number<std::uint8_t>() != 0;
+    ended.isCallClosed = in.number<std::uint8_t>() != 0;
     if (const auto used = in.number<std::uint16_t>(); used > 0) {
-        ended.meteredShare = (used - 1) / 100.0;
+        ended.rateUsedFraction = (used - 1) / 100.0;
     }
     if (const auto units = in.number<std::uint16_t>(); units > 0) {
-        ended.trueUnits = units;
+        ended.actualUnits = units;
     }
     ended.load = in.reals();
     return ended;
@@ -146,9 +146,9 @@
     switch (code) {
         case 10: happening.what = readDone(in); break;
         case 20: {
-            TryFlowing flowing;
+            TryStreamStarted flowing;
             flowing.call = readId<CallId>(in);
-            flowing.attempt = readId<TryNumber>(in);
+            flowing.tryNumber = readId<TryNumber>(in);
             flowing.worker = readId<WorkerId>(in);
             flowing.latency = in.span();
             happening.what = flowing;
@@ -162,7 +162,7 @@
             break;
         }
         case 40: {
-            PeerHeard heard;
+            PeerMessageReceived heard;
             heard.from.value = in.number<std::uint16_t>();
             for (const char byte : in.take(in.number<std::uint16_t>())) {
                 heard.bytes.push_back(static_cast<std::byte>(byte));
@@ -172,7 +172,7 @@
         }
         case 50: break;
         case 60: {
-            CountAnswered answered;
+            AddToCountEnded answered;
             answered.name = readId<CountName>(in);
             answered.outcome = readOutcome(in);
             answered.total = in.real32();
@@ -180,7 +180,7 @@
             happening.what = answered;
             break;
         }
-        case 70: happening.what = ClientGone{readId<CallId>(in)}; break;
+        case 70: happening.what = CallAbandoned{readId<CallId>(in)}; break;
         case 80: {
             ProbeEnded ended;
             ended.worker = readId<WorkerId>(in);
@@ -218,7 +218,7 @@
         return number(identity.value);
     }
 
-    Writer &span(Span value) { return number(std::bit_cast<std::uint64_t>(millisecondsOf(value))); }
+    Writer &span(Duration value) { return number(std::bit_cast<std::uint64_t>(millisecondsOf(value))); }
     Writer &real32(double value) { return number(std::bit_cast<std::uint32_t>(static_cast<float>(value))); }
 
     Writer &bytes(std::string_view value) {
@@ -237,23 +237,27 @@
 
     Writer record(std::uint8_t code) const { return Writer(out, code, who); }
 
-    void operator()(const SendTry &a) const { record(10).id(a.call).span(a.notPast).id(a.worker); }
-    void operator()(const RateLimit &a) const { record(20).id(a.call).span(a.retryAfter.value_or(Span{})); }
-    void operator()(const GiveError &a) const { record(30).id(a.call); }
-    void operator()(const CallOffTry &a) const { record(40).id(a.call).id(a.attempt); }
+    void operator()(const SendTry &a) const { record(10).id(a.call).span(a.deadline).id(a.worker); }
+    void operator()(const AnswerRateLimited &a) const {
+        record(20).id(a.call).span(a.retryAfter.value_or(Duration{}));
+    }
+    void operator()(const AnswerErrored &a) const { record(30).id(a.call); }
+    void operator()(const CancelTry &a) const { record(40).id(a.call).id(a.tryNumber); }
     void operator()(const SetTimer &a) const { record(50).span(a.due).id(a.token); }
     void operator()(const ProbeWorker &a) const { record(60).id(a.worker); }
-    void operator()(const CloseIdle &a) const { record(70).id(a.worker); }
-    void operator()(const TellPeers &a) const {
+    void operator()(const CloseIdleConnections &a) const { record(70).id(a.worker); }
+    void operator()(const SendPeerMessage &a) const {
         const std::string_view text(reinterpret_cast<const char *>(a.bytes.data()), a.bytes.size());
         record(80).number(a.peer ? a.peer->value : everyPeer).bytes(text);
     }
-    void operator()(const Note &a) const {
+    void operator()(const WriteLog &a) const {
         record(90).bytes(std::string_view(a.text).substr(0, longestNote));
     }
-    void operator()(const FollowList &a) const { record(110).number(static_cast<std::uint8_t>(a.on)); }
-    void operator()(const FetchList &) const { record(120); }
-    void operator()(const AddCount &a) const { record(130).span(a.keep).id(a.name).real32(a.amount); }
+    void operator()(const WatchWorkerList &a) const {
+        record(110).number(static_cast<std::uint8_t>(a.enabled));
+    }
+    void operator()(const FetchWorkerList &) const { record(120); }
+    void operator()(const AddToCount &a) const { record(130).span(a.lifetime).id(a.name).real32(a.amount); }
 };
 
 }  // namespace
--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -30,7 +30,7 @@
 };
 
 struct Batch {
-    Span now{};
+    Timestamp now{};
     std::vector<Happening> happenings;
 };
 
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,27 +1,27 @@
 #pragma once
 
-#include <arrowstile/gatekeeper.hpp>
+#include <arrowstile/decision_engine.hpp>
 
 namespace arrowstile::test {
 
 using std::chrono::milliseconds;
 
-inline SiteFacts smallSite() {
-    SiteFacts facts;
-    facts.gateways = 2;
-    facts.mayCount = facts.mayCancel = facts.mayAdvise = true;
-    facts.mostTries = 3;
-    facts.countTimeout = milliseconds(50);
-    facts.longestAdvice = milliseconds(1000);
+inline EngineSettings smallSite() {
+    EngineSettings facts;
+    facts.gatewayCount = 2;
+    facts.mayUseCounter = facts.mayCancel = facts.maySendRetryAfter = true;
+    facts.maxTries = 3;
+    facts.counterTimeout = milliseconds(50);
+    facts.maxRetryAfter = milliseconds(1000);
     facts.connectTimeout = milliseconds(250);
-    facts.coldShare = 0.2;
+    facts.coldCapacityFraction = 0.2;
     facts.warmUp = milliseconds(10000);
-    facts.fallMultiple = 2;
-    facts.fallSpan = milliseconds(1000);
+    facts.coldOverloadFactor = 2;
+    facts.coldOverloadWindow = milliseconds(1000);
     Route route;
     route.latencyTarget = milliseconds(1000);
     route.clientTimeout = milliseconds(4000);
-    route.repeatWindow = milliseconds(2000);
+    route.dedupWindow = milliseconds(2000);
     for (const Effect effect : {Effect::idempotent, Effect::tokened, Effect::nonIdempotent}) {
         route.effect = effect;
         facts.routes.push_back(route);
@@ -37,7 +37,7 @@
 
 /// A gatekeeper with a clock, and what it did last.
 struct Desk {
-    explicit Desk(const SiteFacts &facts = smallSite()) : keeper(facts, 7) {}
+    explicit Desk(const EngineSettings &facts = smallSite()) : keeper(facts, 7) {}
 
     template <class Kind>
     std::vector<Kind> all() const {
@@ -53,8 +53,8 @@
         return *this;
     }
 
-    Desk &list(std::vector<WorkerEntry> workers, ListNews how = ListNews::full) {
-        return tell(WorkerListed{how, 1, std::move(workers)});
+    Desk &list(std::vector<WorkerEntry> workers, WorkerListKind how = WorkerListKind::snapshot) {
+        return tell(WorkerListUpdated{how, 1, std::move(workers)});
     }
 
     Desk &workers(unsigned count) {
@@ -63,44 +63,44 @@
         return list(std::move(entries));
     }
 
-    static WorkerEntry worker(unsigned id, WorkerState state = WorkerState::ready, Span startedAt = {}) {
-        return {WorkerId{id}, {}, {}, CellId{static_cast<std::uint16_t>(id)}, state, 1, startedAt};
+    static WorkerEntry worker(unsigned id, WorkerState state = WorkerState::ready, Timestamp startedAt = {}) {
+        return {WorkerId{id}, {}, {}, WorkerGroupId{static_cast<std::uint16_t>(id)}, state, 1, startedAt};
     }
 
     Desk &call(std::uint64_t id, unsigned route = 0, unsigned plan = 0, double units = 1,
-               Span left = milliseconds(4000)) {
-        CallTaken taken;
+               Duration left = milliseconds(4000)) {
+        CallReceived taken;
         taken.call = {id};
         taken.route.value = static_cast<std::uint8_t>(route);
         taken.plan.value = static_cast<std::uint16_t>(plan);
         taken.customer = {9};
         taken.units = units;
-        taken.gateways = 2;
-        taken.left = left;
+        taken.gatewaySubsetSize = 2;
+        taken.timeRemaining = left;
         return tell(taken);
     }
 
     Desk &ended(std::uint64_t id, unsigned attempt, WorkerId worker, Outcome outcome, bool closed = false,
-                Span latency = milliseconds(20)) {
+                Duration latency = milliseconds(20)) {
         TryEnded end;
         end.call = {id};
-        end.attempt.value = static_cast<std::uint8_t>(attempt);
+        end.tryNumber.value = static_cast<std::uint8_t>(attempt);
         end.worker = worker;
         end.outcome = outcome;
         end.latency = latency;
-        end.callClosed = closed;
+        end.isCallClosed = closed;
         return tell(end);
     }
 
     /// Answers each call to the counter, and those that follow from the answers.
     Desk &answerCounts(Outcome outcome, double total) {
         std::vector<Action> seen = actions;
-        for (auto adds = all<AddCount>(); !adds.empty();) {
-            std::vector<AddCount> more;
-            for (const AddCount &add : adds) {
-                tell(CountAnswered{add.name, outcome, total, milliseconds(2)});
+        for (auto adds = all<AddToCount>(); !adds.empty();) {
+            std::vector<AddToCount> more;
+            for (const AddToCount &add : adds) {
+                tell(AddToCountEnded{add.name, outcome, total, milliseconds(2)});
                 seen.insert(seen.end(), actions.begin(), actions.end());
-                for (const AddCount &next : all<AddCount>()) more.push_back(next);
+                for (const AddToCount &next : all<AddToCount>()) more.push_back(next);
             }
             adds = more;
         }
@@ -109,9 +109,9 @@
     }
 
     /// Lets time pass in ticks of the gatekeeper's own timer; what it does meanwhile is kept together.
-    Desk &pass(Span span, Span step = milliseconds(10)) {
+    Desk &pass(Duration span, Duration step = milliseconds(10)) {
         std::vector<Action> seen;
-        for (const Span end = now + span; now < end;) {
+        for (const Timestamp end = now + span; now < end;) {
             now += step;
             tell(TimerFired{TimerToken{1}});
             seen.insert(seen.end(), actions.begin(), actions.end());
@@ -120,10 +120,10 @@
         return *this;
     }
 
-    std::size_t finals() const { return all<RateLimit>().size() + all<GiveError>().size(); }
+    std::size_t finals() const { return all<AnswerRateLimited>().size() + all<AnswerErrored>().size(); }
 
-    Gatekeeper keeper;
-    Span now = milliseconds(1000);
+    DecisionEngine keeper;
+    Timestamp now = milliseconds(1000);
     std::vector<Action> actions;
 };
 
--- a/tests/test_choice.cpp
+++ b/tests/test_choice.cpp
@@ -35,11 +35,11 @@
     desk.workers(4);
     long early = 0;
     for (std::uint64_t id = 1; id <= 12000; ++id) {
-        CallTaken taken;
+        CallReceived taken;
         taken.call = {id};
         taken.plan.value = static_cast<std::uint16_t>(id % 4);
         taken.customer = {1000 + id};
-        taken.left = milliseconds(4000);
+        taken.timeRemaining = milliseconds(4000);
         const auto sent = desk.tell(taken).all<SendTry>();
         desk.answerCounts(Outcome::answered, 1);
         for (const SendTry &to : sent) {
@@ -48,8 +48,8 @@
         const unsigned place = static_cast<unsigned>(id);
         const WorkerEntry come = Desk::worker(100 + place),
                           gone = Desk::worker(99 + place, WorkerState::gone);
-        if (id % 10 == 0) desk.list({come, gone}, ListNews::changes);
-        if (id % 10 == 1) desk.list({gone}, ListNews::changes);
+        if (id % 10 == 0) desk.list({come, gone}, WorkerListKind::delta);
+        if (id % 10 == 1) desk.list({gone}, WorkerListKind::delta);
         desk.now += milliseconds(7);
         if (id % 2 == 0) desk.tell(TimerFired{TimerToken{1}}).answerCounts(Outcome::answered, 0);
         desk.actions = {};
@@ -64,17 +64,17 @@
     desk.workers(40);
     long early = 0;
     for (std::uint64_t id = 1; id <= 9000; ++id) {
-        CallTaken taken;
+        CallReceived taken;
         taken.call = {id};
         taken.plan.value = static_cast<std::uint16_t>(1 + id % 2);
         taken.customer = {1000 + id};
-        taken.left = milliseconds(4000);
+        taken.timeRemaining = milliseconds(4000);
         const auto sent = desk.tell(taken).all<SendTry>();
-        desk.answerCounts(Outcome::full, 0);
+        desk.answerCounts(Outcome::overloaded, 0);
         for (const SendTry &to : sent)
-            desk.ended(id, 0, to.worker, Outcome::answered, true).answerCounts(Outcome::full, 0);
+            desk.ended(id, 0, to.worker, Outcome::answered, true).answerCounts(Outcome::overloaded, 0);
         desk.now += milliseconds(10);
-        desk.tell(TimerFired{TimerToken{1}}).answerCounts(Outcome::full, 0);
+        desk.tell(TimerFired{TimerToken{1}}).answerCounts(Outcome::overloaded, 0);
         desk.actions = {};
         if (id == 6000) early = living;  // 60 s: more than a window or an epoch, twice
     }
@@ -94,33 +94,33 @@
         {"room in both windows", 200, 1, Outcome::answered, 3, 4, true, true},
         {"this window is full", 200, 1, Outcome::answered, 22, 0, true, false},
         {"the last one was full, this one is young", 200, 1, Outcome::answered, 4, 200, true, false},
-        {"the counter turns the call away", 200, 1, Outcome::full, 0, 0, true, true},
+        {"the counter turns the call away", 200, 1, Outcome::overloaded, 0, 0, true, true},
         {"open cap, room", 200, 2, Outcome::answered, 1, 0, true, true},
         {"open cap, full", 200, 2, Outcome::answered, 3, 0, true, false},
     };
     for (const Row &row : rows) {
         CAPTURE(std::string(row.name));
-        SiteFacts facts = smallSite();
-        facts.gateways = row.gateways;
+        EngineSettings facts = smallSite();
+        facts.gatewayCount = row.gateways;
         Desk desk(facts);
         desk.workers(12);
-        CallTaken taken;
+        CallReceived taken;
         taken.call = {1};
         taken.customer = {9};
         taken.plan.value = static_cast<std::uint16_t>(row.plan);
-        taken.gateways = row.gateways;
-        taken.left = milliseconds(4000);
+        taken.gatewaySubsetSize = row.gateways;
+        taken.timeRemaining = milliseconds(4000);
         desk.tell(taken);
         CHECK(desk.all<SendTry>().size() + desk.finals() == (row.held ? 0 : 1));
         if (!row.held) continue;
-        const auto asked = desk.all<AddCount>();
+        const auto asked = desk.all<AddToCount>();
         REQUIRE(asked.size() >= 1);
         std::size_t sent = 0, refused = 0;
-        for (const AddCount &add : asked) {
+        for (const AddToCount &add : asked) {
             const double total = add.amount > 0 ? row.current : row.previous;
-            desk.tell(CountAnswered{add.name, row.outcome, total, milliseconds(2)});
+            desk.tell(AddToCountEnded{add.name, row.outcome, total, milliseconds(2)});
             sent += desk.all<SendTry>().size();
-            refused += desk.all<RateLimit>().size();
+            refused += desk.all<AnswerRateLimited>().size();
         }
         CHECK(sent == (row.passes ? 1 : 0));
         CHECK(refused == (row.passes ? 0 : 1));
@@ -128,8 +128,8 @@
 }
 
 TEST_CASE("each of many gateways sees within two seconds that the counter is back") {
-    SiteFacts facts = smallSite();
-    facts.gateways = 300;
+    EngineSettings facts = smallSite();
+    facts.gatewayCount = 300;
     Desk desk(facts);
     desk.workers(12);
     std::uint64_t id = 0;
@@ -137,18 +137,18 @@
     const auto second = [&](Outcome outcome) {
         calls = 0;
         for (int i = 0; i < 20; ++i) {
-            CallTaken taken;
+            CallReceived taken;
             taken.call = {++id};
             taken.customer = {id};
             taken.plan.value = 1;
-            taken.gateways = 2;
-            taken.left = milliseconds(4000);
+            taken.gatewaySubsetSize = 2;
+            taken.timeRemaining = milliseconds(4000);
             const auto sent = desk.tell(taken).all<SendTry>();
-            calls += desk.all<AddCount>().size();
+            calls += desk.all<AddToCount>().size();
             desk.answerCounts(outcome, 1);
             for (const SendTry &to : sent) desk.ended(id, 0, to.worker, Outcome::answered, true);
             desk.pass(milliseconds(50));
-            calls += desk.all<AddCount>().size();
+            calls += desk.all<AddToCount>().size();
             desk.answerCounts(outcome, 1);
         }
     };
@@ -159,18 +159,18 @@
 }
 
 TEST_CASE("a call that waits for totals is decided though the counter never answers") {
-    SiteFacts facts = smallSite();
-    facts.gateways = 200;
+    EngineSettings facts = smallSite();
+    facts.gatewayCount = 200;
     Desk desk(facts);
     desk.workers(12);
-    CallTaken taken;
+    CallReceived taken;
     taken.call = {1};
     taken.customer = {9};
     taken.plan.value = 1;
-    taken.gateways = 200;
-    taken.left = milliseconds(4000);
+    taken.gatewaySubsetSize = 200;
+    taken.timeRemaining = milliseconds(4000);
     CHECK(desk.tell(taken).all<SendTry>().empty());
-    desk.pass(2 * facts.countTimeout + milliseconds(20));
+    desk.pass(2 * facts.counterTimeout + milliseconds(20));
     CHECK(desk.all<SendTry>().size() + desk.finals() == 1);
 }
 
@@ -178,7 +178,7 @@
     struct Row {
         const char *name;
         unsigned plan;
-        Span target, most;
+        Duration target, most;
     };
     const Row rows[] = {{"quota used up", 1, milliseconds(900), milliseconds(300)},
                         {"open cap full", 2, milliseconds(300), milliseconds(100)},
@@ -187,13 +187,13 @@
                         {"a long target", 1, milliseconds(60000), milliseconds(1000)}};
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        SiteFacts facts = smallSite();
+        EngineSettings facts = smallSite();
         for (Route &route : facts.routes) route.latencyTarget = row.target;
         Desk desk(facts);
         desk.workers(row.plan == 0 ? 0 : 12);
         std::size_t refused = 0;
         for (std::uint64_t id = 1; id < 60; ++id) {
-            for (const RateLimit &limit : desk.call(id, 0, row.plan, 6).all<RateLimit>()) {
+            for (const AnswerRateLimited &limit : desk.call(id, 0, row.plan, 6).all<AnswerRateLimited>()) {
                 ++refused;
                 CHECK(limit.retryAfter <= row.most);
                 CHECK(limit.retryAfter >= row.most / 2 - milliseconds(1));
@@ -216,18 +216,18 @@
 }
 
 TEST_CASE("short of calls to the counter, the customer nearest to its quota is reported first") {
-    SiteFacts facts = smallSite();
+    EngineSettings facts = smallSite();
     facts.plans[0] = {.rate = 5, .burst = 2000};
     Desk desk(facts);
     desk.workers(12);
     std::uint64_t id = 0;
     const auto call = [&](std::uint64_t customer, unsigned plan) {
-        CallTaken taken;
+        CallReceived taken;
         taken.call = {++id};
         taken.customer = {customer};
         taken.plan.value = static_cast<std::uint16_t>(plan);
-        taken.left = milliseconds(4000);
-        const auto adds = desk.tell(taken).all<AddCount>().size();
+        taken.timeRemaining = milliseconds(4000);
+        const auto adds = desk.tell(taken).all<AddToCount>().size();
         const auto sent = desk.all<SendTry>();
         REQUIRE(sent.size() == 1);
         desk.ended(id, 0, sent[0].worker, Outcome::answered, true);
@@ -237,7 +237,7 @@
     for (int more = 0; more < 10; ++more) call(300 + static_cast<std::uint64_t>(more), 0);
     for (int more = 0; more < 12; ++more) CHECK(call(7, 1) == 0);
     desk.pass(milliseconds(10));  // gives a call or two: the one whose store is half spent has the first
-    const auto adds = desk.all<AddCount>();
+    const auto adds = desk.all<AddToCount>();
     REQUIRE(adds.size() > 0);
     CHECK(adds[0].amount == 12);
     CHECK(call(400, 0) == 0);  // with others in line nobody passes them
@@ -256,7 +256,7 @@
         {"non-idempotent after an error", 2, Outcome::errored, false, false, true},
         {"non-idempotent after a reset", 2, Outcome::reset, false, false, true},
         {"non-idempotent after a time-out", 2, Outcome::timedOut, false, false, true},
-        {"non-idempotent turned back unseen", 2, Outcome::full, true, false, false},
+        {"non-idempotent turned back unseen", 2, Outcome::overloaded, true, false, false},
         {"non-idempotent never connected", 2, Outcome::connectFailed, true, false, false},
     };
     for (const Row &row : rows) {
@@ -268,8 +268,8 @@
         desk.now += milliseconds(20);
         desk.ended(1, 0, first, row.outcome);
         CHECK(desk.all<SendTry>().size() == (row.again ? 1 : 0));
-        CHECK(desk.all<RateLimit>().size() == (row.rateLimited ? 1 : 0));
-        CHECK(desk.all<GiveError>().size() == (row.errored ? 1 : 0));
+        CHECK(desk.all<AnswerRateLimited>().size() == (row.rateLimited ? 1 : 0));
+        CHECK(desk.all<AnswerErrored>().size() == (row.errored ? 1 : 0));
         if (row.again) CHECK(desk.all<SendTry>()[0].worker != first);
         CHECK(desk.ended(1, 0, first, row.outcome).finals() + desk.all<SendTry>().size() <= 1);  // a repeat
     }
@@ -279,7 +279,7 @@
     struct Row {
         const char *name;
         unsigned workers, route;
-        Span left, ended;
+        Duration left, ended;
     };
     const Row rows[] = {
         {"no worker", 0, 0, milliseconds(4000), {}},
@@ -294,7 +294,7 @@
         desk.workers(row.workers).call(1, row.route, 0, 1, row.left);
         std::size_t finals = desk.finals();
         if (const auto sent = desk.all<SendTry>(); !sent.empty()) {
-            CHECK(sent[0].notPast <= desk.now + row.left);
+            CHECK(sent[0].deadline <= desk.now + row.left);
             desk.now += row.ended;
             desk.ended(1, 0, sent[0].worker, Outcome::timedOut);
             finals += desk.finals();
@@ -307,34 +307,34 @@
 TEST_CASE("events for what is not held are passed over") {
     Desk desk;
     desk.workers(1);
-    const Event strays[] = {ClientGone{{5}},
+    const Event strays[] = {CallAbandoned{{5}},
                             TryEnded{{5}, {0}, {77}, Outcome::answered},
-                            CountAnswered{{3}},
+                            AddToCountEnded{{3}},
                             TimerFired{{99}},
                             ProbeEnded{{77}},
-                            PeerHeard{},
-                            TryFlowing{{5}, {0}, {77}},
-                            WorkerListed{ListNews::failed, 2, {}}};
+                            PeerMessageReceived{},
+                            TryStreamStarted{{5}, {0}, {77}},
+                            WorkerListUpdated{WorkerListKind::failed, 2, {}}};
     for (const Event &stray : strays) {
         CAPTURE(stray.index());
         CHECK(desk.tell(stray).actions.empty());
     }
     CHECK(desk.call(1, 200).finals() == 1);                  // a route that is in no table
     CHECK(desk.call(2, 0, 200).all<SendTry>().size() == 1);  // a plan that is in none has no limits
-    CHECK(desk.tell(ClientGone{{2}}).all<CallOffTry>().size() == 1);
-    CHECK(desk.ended(2, 0, {1}, Outcome::calledOff).finals() == 0);
+    CHECK(desk.tell(CallAbandoned{{2}}).all<CancelTry>().size() == 1);
+    CHECK(desk.ended(2, 0, {1}, Outcome::cancelled).finals() == 0);
 }
 
 TEST_CASE("a worker that drains, is gone or falls out of the list gets nothing new") {
     struct Row {
         const char *name;
         std::vector<WorkerEntry> news;
-        ListNews how;
+        WorkerListKind how;
     };
     const Row rows[] = {
-        {"draining", {Desk::worker(1, WorkerState::draining)}, ListNews::changes},
-        {"gone", {Desk::worker(1, WorkerState::gone)}, ListNews::changes},
-        {"not in the whole list", {Desk::worker(2)}, ListNews::full},
+        {"draining", {Desk::worker(1, WorkerState::draining)}, WorkerListKind::delta},
+        {"gone", {Desk::worker(1, WorkerState::gone)}, WorkerListKind::delta},
+        {"not in the whole list", {Desk::worker(2)}, WorkerListKind::snapshot},
     };
     for (const Row &row : rows) {
         CAPTURE(row.name);
@@ -358,7 +358,7 @@
         {"nobody else: the whole burst", Outcome::answered, 0, 8},
         {"others took ten", Outcome::answered, 10, 3},
         {"others took all", Outcome::answered, 16, 0},
-        {"turned away: the share", Outcome::full, 0, 3},
+        {"turned away: the share", Outcome::overloaded, 0, 3},
         {"no connection: the share", Outcome::connectFailed, 0, 3},
         {"fate unknown: the share", Outcome::timedOut, 0, 3},
     };
@@ -366,42 +366,42 @@
         CAPTURE(row.name);
         Desk desk;
         desk.workers(12).call(1, 0, 1, 4);
-        REQUIRE(desk.all<AddCount>().size() == 1);
-        const AddCount add = desk.all<AddCount>()[0];
+        REQUIRE(desk.all<AddToCount>().size() == 1);
+        const AddToCount add = desk.all<AddToCount>()[0];
         CHECK(add.amount == 4);
         if (row.outcome != Outcome::notSent) {
-            desk.tell(CountAnswered{add.name, row.outcome, row.othersBefore + 4, milliseconds(2)});
+            desk.tell(AddToCountEnded{add.name, row.outcome, row.othersBefore + 4, milliseconds(2)});
         }
         unsigned passes = 0;
         for (unsigned i = 2; i < 14; ++i) passes += desk.call(i, 0, 1, 2).all<SendTry>().size();
         CHECK(passes == row.passes);
-        CHECK(desk.all<RateLimit>().size() == 1);
-        CHECK(desk.all<RateLimit>()[0].retryAfter.has_value());
-        CHECK(*desk.all<RateLimit>()[0].retryAfter <= milliseconds(1000));
+        CHECK(desk.all<AnswerRateLimited>().size() == 1);
+        CHECK(desk.all<AnswerRateLimited>()[0].retryAfter.has_value());
+        CHECK(*desk.all<AnswerRateLimited>()[0].retryAfter <= milliseconds(1000));
     }
 }
 
 TEST_CASE("counts lost by the counter go on counting here") {
     Desk desk;
     desk.workers(12).call(1, 0, 1, 16);
-    const CountName name = desk.all<AddCount>()[0].name;
-    desk.tell(CountAnswered{name, Outcome::answered, 16, milliseconds(2)}).call(2, 0, 1, 2);
-    desk.tell(CountAnswered{name, Outcome::answered, 2, milliseconds(2)});  // back empty
-    CHECK(desk.call(3, 0, 1, 4).all<RateLimit>().size() == 1);
+    const CountName name = desk.all<AddToCount>()[0].name;
+    desk.tell(AddToCountEnded{name, Outcome::answered, 16, milliseconds(2)}).call(2, 0, 1, 2);
+    desk.tell(AddToCountEnded{name, Outcome::answered, 2, milliseconds(2)});  // back empty
+    CHECK(desk.call(3, 0, 1, 4).all<AnswerRateLimited>().size() == 1);
 }
 
 TEST_CASE("a silent or refusing counter is called ever less, and no pass goes unreported") {
-    for (const Outcome outcome : {Outcome::timedOut, Outcome::connectFailed, Outcome::full}) {
+    for (const Outcome outcome : {Outcome::timedOut, Outcome::connectFailed, Outcome::overloaded}) {
         CAPTURE(static_cast<int>(outcome));
         Desk desk;
         desk.workers(12).call(1, 0, 1, 1);
         std::size_t late = 0;
         double added = 0;
         for (unsigned i = 0; i < 300; ++i) {
-            for (const AddCount &add : desk.all<AddCount>()) {
+            for (const AddToCount &add : desk.all<AddToCount>()) {
                 late += i > 200;
                 added = add.amount;
-                desk.tell(CountAnswered{add.name, outcome, 0, milliseconds(5)});
+                desk.tell(AddToCountEnded{add.name, outcome, 0, milliseconds(5)});
             }
             desk.pass(milliseconds(10));
         }
@@ -415,7 +415,7 @@
     desk.workers(12);
     for (unsigned id : {1, 2})
         CHECK(desk.call(id, 0, 2).answerCounts(Outcome::answered, id).all<SendTry>().size() == 1);
-    CHECK(desk.call(3, 0, 2).all<RateLimit>().size() == 1);  // two are out
+    CHECK(desk.call(3, 0, 2).all<AnswerRateLimited>().size() == 1);  // two are out
     for (unsigned id : {1, 2})
         desk.ended(id, 0, {id}, Outcome::answered, true).answerCounts(Outcome::answered, 2 - id);
 
@@ -435,8 +435,8 @@
         CAPTURE(row.name);
         desk.pass(milliseconds(200)).answerCounts(Outcome::answered, 0).call(++id, 0, 2);
         CHECK(desk.finals() + desk.all<SendTry>().size() == 0);  // held for the answer
-        REQUIRE(desk.all<AddCount>().size() == 1);
-        desk.tell(CountAnswered{desk.all<AddCount>()[0].name, row.outcome, row.total, milliseconds(2)});
+        REQUIRE(desk.all<AddToCount>().size() == 1);
+        desk.tell(AddToCountEnded{desk.all<AddToCount>()[0].name, row.outcome, row.total, milliseconds(2)});
         const auto sent = desk.all<SendTry>();
         CHECK(sent.size() == (row.passes ? 1 : 0));
         CHECK(desk.finals() == (row.passes ? 0 : 1));
@@ -459,7 +459,7 @@
 TEST_CASE("a ceiling is shared evenly and a restart does not refill the share") {
     struct Row {
         const char *name;
-        Span waited;
+        Duration waited;
         unsigned most;
     };
     const Row rows[] = {{"just started", {}, 0},
@@ -482,7 +482,7 @@
         CAPTURE(age);
         Desk desk;
         desk.now = milliseconds(20000);
-        desk.list({Desk::worker(1, WorkerState::ready, desk.now - milliseconds(age) - Span{1})});
+        desk.list({Desk::worker(1, WorkerState::ready, desk.now - milliseconds(age) - Duration{1})});
         unsigned passes = 0;
         for (unsigned i = 1; i < 30; ++i) passes += desk.call(i).all<SendTry>().size();
         CHECK(passes >= std::max(1u, before));
@@ -537,7 +537,7 @@
     struct Row {
         const char *name;
         unsigned workers;
-        Span startedAt;
+        Timestamp startedAt;
         std::size_t least, most;  // gateways of a hundred that send their first call to the busiest worker
     };
     const Row rows[] = {{"one cold worker", 1, milliseconds(900), 1, 2},
@@ -547,9 +547,9 @@
         CAPTURE(row.name);
         std::map<WorkerId, std::size_t> sent;
         for (unsigned rank = 0; rank < 100; ++rank) {
-            SiteFacts facts = smallSite();
-            facts.gateways = 100;
-            facts.rank = {rank};
+            EngineSettings facts = smallSite();
+            facts.gatewayCount = 100;
+            facts.gatewayIndex = {rank};
             Desk desk(facts);
             std::vector<WorkerEntry> entries;
             for (unsigned i = 1; i <= row.workers; ++i) {
@@ -570,7 +570,7 @@
         const char *name;
         unsigned route;
         bool overtaken;
-        Span least, most;  // from the send to the call-off
+        Duration least, most;  // from the send to the call-off
     };
     const Row rows[] = {{"idempotent", 0, true, milliseconds(100), milliseconds(300)},
                         {"non-idempotent", 2, true, milliseconds(1000), milliseconds(1020)},
@@ -586,18 +586,18 @@
         };
         for (std::uint64_t id = 10; id < 20; ++id) answered(id);
         REQUIRE(desk.call(1, row.route).all<SendTry>().size() == 1);
-        const Span begun = desk.now;
+        const Timestamp begun = desk.now;
         for (std::uint64_t id = 20; row.overtaken && id < 25; ++id) answered(id);
-        std::optional<Span> took;
+        std::optional<Duration> took;
         while (desk.now - begun < milliseconds(1500) && !took)
-            if (!desk.pass(milliseconds(10)).all<CallOffTry>().empty()) took = desk.now - begun;
+            if (!desk.pass(milliseconds(10)).all<CancelTry>().empty()) took = desk.now - begun;
         CHECK(took.has_value() == row.overtaken);
         if (!took) continue;
         CHECK((*took >= row.least && *took <= row.most));
-        CHECK(desk.pass(milliseconds(50)).all<CallOffTry>().empty());  // once
-        desk.ended(1, 0, WorkerId{1}, Outcome::calledOff);
+        CHECK(desk.pass(milliseconds(50)).all<CancelTry>().empty());  // once
+        desk.ended(1, 0, WorkerId{1}, Outcome::cancelled);
         CHECK(desk.all<SendTry>().size() == (row.route == 0 ? 1 : 0));
-        CHECK(desk.all<GiveError>().size() == (row.route == 0 ? 0 : 1));
+        CHECK(desk.all<AnswerErrored>().size() == (row.route == 0 ? 0 : 1));
     }
 }
 
@@ -605,7 +605,7 @@
     struct Row {
         const char *name;
         std::vector<Outcome> outcomes;
-        Span barred;
+        Duration barred;
     };
     const Row rows[] = {
         {"a reset", {Outcome::reset}, {}},
@@ -621,7 +621,7 @@
             REQUIRE(desk.call(++id, 2).all<SendTry>().size() == 1);
             desk.ended(id, 0, WorkerId{1}, outcome, outcome == Outcome::answered);
         }
-        Span waited{};
+        Duration waited{};
         for (; desk.call(++id, 2).all<SendTry>().empty(); waited += milliseconds(10)) {
             REQUIRE(waited < milliseconds(2000));
             desk.pass(milliseconds(10));
@@ -685,10 +685,10 @@
 }
 
 TEST_CASE("without a counter a share of an open cap under one is kept by rests") {
-    SiteFacts facts = smallSite();
-    facts.gateways = 2;
+    EngineSettings facts = smallSite();
+    facts.gatewayCount = 2;
     facts.plans[2].openCap = 1;
-    facts.mayCount = false;
+    facts.mayUseCounter = false;
     Desk desk(facts);
     desk.workers(12).call(1, 0, 2);
     const WorkerId worker = desk.all<SendTry>().at(0).worker;
@@ -706,9 +706,9 @@
     std::size_t passed = 0;
     for (std::uint64_t id = 1; since < 20 && id < 400; ++id, desk.pass(milliseconds(100))) {
         desk.call(id, 0, 2);
-        for (const AddCount &add : desk.all<AddCount>()) first = first.value_or(add.name);
+        for (const AddToCount &add : desk.all<AddToCount>()) first = first.value_or(add.name);
         const auto told = [&](const Desk &at) {
-            const auto adds = at.all<AddCount>();
+            const auto adds = at.all<AddToCount>();
             since += adds.empty() ? 0 : adds[0].name != *first;
             return since > 0 ? 0.0 : 2.0;  // two tries stay counted under the first name
         };
@@ -725,18 +725,18 @@
 
 namespace {
 
-SiteFacts largeSite(unsigned gateways) {
-    SiteFacts facts = smallSite();
-    facts.gateways = gateways;
+EngineSettings largeSite(unsigned gateways) {
+    EngineSettings facts = smallSite();
+    facts.gatewayCount = gateways;
     return facts;
 }
 
 /// Calls at even gaps, each answered by its worker after a while; those sent, by worker or by route.
 struct Stream {
     Desk &desk;
-    Span gap, latency;
+    Duration gap, latency;
     std::uint64_t id = 0, chance = 11;
-    std::map<Span, std::pair<std::uint64_t, WorkerId>> out{};
+    std::map<Timestamp, std::pair<std::uint64_t, WorkerId>> out{};
     std::map<WorkerId, unsigned> to{};
     std::map<unsigned, unsigned> sent{};
 
@@ -745,7 +745,7 @@
             chance = chance * 6364136223846793005ull + 1442695040888963407ull + ++id;
             const auto route = static_cast<unsigned>((chance >> 33) % 3);
             for (const SendTry &one : desk.call(id, route).all<SendTry>()) {
-                out[desk.now + latency + Span{static_cast<int>(id % 1000)}] = {id, one.worker};
+                out[desk.now + latency + Duration{static_cast<int>(id % 1000)}] = {id, one.worker};
                 ++to[one.worker];
                 ++sent[route];
             }
@@ -784,7 +784,7 @@
     const auto listed = [&](unsigned cold) {
         std::vector<WorkerEntry> entries;
         for (unsigned i = 1; i <= all; ++i)
-            entries.push_back(Desk::worker(i, WorkerState::ready, i <= cold ? desk.now : Span{}));
+            entries.push_back(Desk::worker(i, WorkerState::ready, i <= cold ? desk.now : Timestamp{}));
         desk.list(entries);
     };
     listed(0);
@@ -809,7 +809,7 @@
         const auto pick = [&](std::uint64_t below) {
             return ((drawn = drawn * 6364136223846793005ull + 1) >> 33) % below;
         };
-        SiteFacts facts = largeSite(fleet == 0 ? 2 : 1 + static_cast<unsigned>(pick(12)));
+        EngineSettings facts = largeSite(fleet == 0 ? 2 : 1 + static_cast<unsigned>(pick(12)));
         for (Route &route : facts.routes)
             route.billedValue = fleet == 0 ? 5 : std::pow(10.0, static_cast<double>(pick(5)) - 2);
         if (fleet == 0) facts.routes[0].billedValue = 0.1;
@@ -835,7 +835,7 @@
         for (std::uint64_t id = 1; id <= 300; ++id) {
             for (const SendTry &one : desk.call(id).all<SendTry>()) {
                 ++tries;
-                desk.pass(milliseconds(10)).ended(id, 0, one.worker, Outcome::full, true);
+                desk.pass(milliseconds(10)).ended(id, 0, one.worker, Outcome::overloaded, true);
             }
             desk.pass(milliseconds(10));
         }
@@ -859,21 +859,21 @@
 }
 
 TEST_CASE("a customer whose calls wait for the counter stays, however short its window") {
-    SiteFacts facts = largeSite(100);
+    EngineSettings facts = largeSite(100);
     facts.plans[1].rate = 50;
     facts.plans[1].burst = 1;
     Desk desk(facts);
     desk.workers(4);
-    CallTaken taken;
+    CallReceived taken;
     taken.call = {1};
     taken.plan.value = 1;
     taken.customer = {9};
     taken.units = 1;
-    taken.gateways = 100;
-    taken.left = milliseconds(4000);
+    taken.gatewaySubsetSize = 100;
+    taken.timeRemaining = milliseconds(4000);
     desk.tell(taken);
     REQUIRE(desk.all<SendTry>().empty());
-    REQUIRE(desk.all<AddCount>().size() >= 1);
+    REQUIRE(desk.all<AddToCount>().size() >= 1);
     desk.pass(milliseconds(300));
     CHECK(desk.all<SendTry>().size() + desk.finals() == 1);
 }
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -64,9 +64,9 @@
 }
 
 TEST_CASE("a worker's reply tells the outcome, the value and the figures") {
-    Site site;
-    site.loadColumns = {"q", "util"};
-    site.facts.unitsSettled = true;
+    Settings site;
+    site.loadColumnNames = {"q", "util"};
+    site.engine.hasActualUnits = true;
     struct Row {
         const char *in;
         Parsed parsed;
@@ -93,8 +93,8 @@
         {"*3\r\n$-1\r\n$-1\r\n$-1\r\n", Parsed::whole, Outcome::errored, "", {}},
         {"-ERR failed\r\n", Parsed::whole, Outcome::errored, "", {}},
         {"-ERR failed q=1,util=0.25\r\n", Parsed::whole, Outcome::errored, "", {1, 0.25}},
-        {"-BUSY\r\n", Parsed::whole, Outcome::full, "", {}},
-        {"-BUSY q=9,util=1\r\n", Parsed::whole, Outcome::full, "", {9, 1}},
+        {"-BUSY\r\n", Parsed::whole, Outcome::overloaded, "", {}},
+        {"-BUSY q=9,util=1\r\n", Parsed::whole, Outcome::overloaded, "", {9, 1}},
         {"-BUSYNESS\r\n", Parsed::whole, Outcome::errored, "", {}},
         {"+OK\r\n", Parsed::whole, Outcome::errored, "", {}},
         {":7\r\n", Parsed::whole, Outcome::errored, "", {}},
@@ -130,12 +130,12 @@
 }
 
 TEST_CASE("an API call passes on unchanged but for the patience, or is turned back with a reason") {
-    Site site;
-    site.routes = {"status", "order"};
-    site.plans = {"basic", "team"};
-    site.facts = smallSite();
-    site.facts.gateways = 3;
-    site.facts.mostUnits = 6;
+    Settings site;
+    site.routeNames = {"status", "order"};
+    site.planNames = {"basic", "team"};
+    site.engine = smallSite();
+    site.engine.gatewayCount = 3;
+    site.engine.maxUnits = 6;
     const std::string customer = "00000000b4d65521",
                       list = "c=order,t=team,d=480,k=5c0f,units=2.5,spread=3,first=1";
     struct Row {
@@ -193,8 +193,8 @@
         CHECK(call.taken.plan == PlanId{1});
         CHECK(call.taken.customer == CustomerId{0xb4d65521});
         CHECK(call.taken.units == 2.5);
-        CHECK(call.taken.gateways == 3);
-        CHECK(call.taken.left == milliseconds(480));
+        CHECK(call.taken.gatewaySubsetSize == 3);
+        CHECK(call.taken.timeRemaining == milliseconds(480));
     }
 }
 
@@ -235,7 +235,7 @@
     CHECK(book.find(other) != nullptr);
     CHECK((book.size() == 1 && book.bytes() == 5));
     CHECK(rateLimitAnswer(std::nullopt) == "-BUSY\r\n");
-    CHECK(rateLimitAnswer(Span{1500}) == "-BUSY 2\r\n");
+    CHECK(rateLimitAnswer(Duration{1500}) == "-BUSY 2\r\n");
     CHECK(erroredAnswer() == "-ERR failed\r\n");
     CHECK(proxiedAnswer("a\r\nb") == "$4\r\na\r\nb\r\n");
 }
@@ -259,8 +259,8 @@
 }
 
 TEST_CASE("a list of workers: ids by name, states, and what is no list") {
-    Site site;
-    site.zones = {"a", "b"};
+    Settings site;
+    site.zoneNames = {"a", "b"};
     TargetReader reader(site), another(site);
     const std::string one =
         R"({"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:1","zone":"b",
@@ -279,12 +279,12 @@
     for (const char *bad :
          {"", "[]", "{}", R"({"index":"x","endpoints":[]})", R"({"index":1,"endpoints":[{}]})"}) {
         CAPTURE(bad);
-        CHECK_THROWS_AS(reader.read(bad), FactsError);
+        CHECK_THROWS_AS(reader.read(bad), ConfigError);
     }
 }
 
 TEST_CASE("names of workers that are gone are forgotten, and one that comes back has its id again") {
-    Site site;
+    Settings site;
     TargetReader reader(site);
     const auto list = [&](const char *snapshot, const std::string &name, const char *status) {
         return reader
@@ -324,8 +324,8 @@
             "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
         for (std::size_t at = 0; at < wire.size(); at += 1460)
             REQUIRE(answers.take(std::string_view(wire).substr(at, 1460)));
-        Site site;
-        site.zones = {"a"};
+        Settings site;
+        site.zoneNames = {"a"};
         TargetReader reader(site);
         const TargetNews news = reader.read(body);
         CHECK(news.targets.size() == static_cast<std::size_t>(count));
@@ -335,7 +335,7 @@
             list + R"(,"peers":[)" + peers + R"(],"settings":{"balancers":)" + std::to_string(count) +
             R"(,"classes":[],"rules":{},"permissions":{}}})");
         CHECK(start.peers.size() == static_cast<std::size_t>(count));
-        CHECK(start.site.facts.gateways == static_cast<unsigned>(count));
+        CHECK(start.site.engine.gatewayCount == static_cast<unsigned>(count));
         CHECK(TargetReader(site).read(start.known).targets.size() == static_cast<std::size_t>(count));
     }
 }
@@ -351,7 +351,7 @@
     CHECK(read.peers == std::vector{Address{"127.0.0.1", 3}});
     CHECK(!read.counter);
     CHECK(read.known.empty());
-    CHECK(read.site.idleLimit == milliseconds(15000));
+    CHECK(read.site.workerIdleTimeout == milliseconds(15000));
     const std::string rows[] = {
         "",
         "{",
@@ -370,7 +370,7 @@
         try {
             readStart(row);
             CHECK(false);
-        } catch (const FactsError &error) {
+        } catch (const ConfigError &error) {
             CHECK(std::string_view(error.what()).find('\n') == std::string_view::npos);
         }
     }
@@ -401,18 +401,18 @@
 TEST_CASE("alarms ring in order of time, and not once cleared") {
     Alarms alarms;
     std::string rung;
-    alarms.set(Span{20}, [&] { rung += 'b'; });
-    alarms.set(Span{10}, [&] { rung += 'a'; });
-    const auto never = alarms.set(Span{15}, [&] { rung += 'x'; });
-    alarms.set(Span{20}, [&] {
-        alarms.set(Span{20}, [&] { rung += 'd'; });
+    alarms.set(Timestamp{20}, [&] { rung += 'b'; });
+    alarms.set(Timestamp{10}, [&] { rung += 'a'; });
+    const auto never = alarms.set(Timestamp{15}, [&] { rung += 'x'; });
+    alarms.set(Timestamp{20}, [&] {
+        alarms.set(Timestamp{20}, [&] { rung += 'd'; });
         rung += 'c';
     });
     alarms.clear(never);
-    CHECK(alarms.next() == Span{10});
-    alarms.run(Span{10});
+    CHECK(alarms.next() == Timestamp{10});
+    alarms.run(Timestamp{10});
     CHECK(rung == "a");
-    alarms.run(Span{30});
+    alarms.run(Timestamp{30});
     CHECK(rung == "abcd");
     CHECK(!alarms.next());
 }
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -128,7 +128,7 @@
                 Log log(said, Log::Level::info);
                 Gateway(&loop, start, log, [this] {
                     if (renewed) return *renewed;
-                    throw FactsError("no document");
+                    throw ConfigError("no document");
                 }).run();
             }
             uv_run(&loop, UV_RUN_DEFAULT);
@@ -555,7 +555,7 @@
         const char *name;
         std::string sent;
         const char *answer;
-        Span least, most;
+        Duration least, most;
     };
     const std::string half = "*4\r\n$5\r\nQ.ASK\r\n$16\r\n0000";
     const Row rows[] = {
--- a/tests/test_lab.cpp
+++ b/tests/test_lab.cpp
@@ -46,8 +46,8 @@
     Chance chance(11);
     Node node({.cores = cores, .waiting = 1000000}, {}, 11);
     std::vector<double> took;
-    std::vector<Span> came(jobs + 1);
-    Span now{};
+    std::vector<Timestamp> came(jobs + 1);
+    Timestamp now{};
     std::size_t turnedAway = 0;
     for (std::uint64_t id = 1; id <= jobs; ++id) {
         now += fromMs(chance.exponential(meanMs / (busy * cores)));
@@ -146,7 +146,7 @@
 }
 
 TEST_CASE("each rule's checker names a planted breach, and nothing on a sound record") {
-    const Span patience = milliseconds(1000);
+    const Duration patience = milliseconds(1000);
     const Line taken{milliseconds(0), Step::taken, 1, 5, 0, patience, true};
     const auto line = [](int ms, Step step, std::uint64_t node = 3) {
         return Line{milliseconds(ms), step, 1, 5, node, {}, false};
@@ -243,7 +243,7 @@
                                    {"seconds = 30", "seconds = 1"}})
         text.replace(text.find(from), std::string(from).size(), to);
     const Scenario large = readScenario(text, "f");
-    CHECK(large.facts.gateways == 1100);
+    CHECK(large.facts.gatewayCount == 1100);
     const Report report = play(large, 1);
     CHECK(report.firstTries > 0);
     CHECK(report.broken.empty());
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -3,8 +3,8 @@
 
 #include <sstream>
 
-#include "facts_json.hpp"
 #include "host.hpp"
+#include "settings.hpp"
 
 using namespace arrowstile;
 using namespace arrowstile::simhost;
@@ -52,31 +52,31 @@
               "64 00000003 03 0000000000000029 00000001 2c9011f2 01 02 0004 02 3fc00000 40b7d40000000000"
               "3c 00000004 000000000089f690 0064 42180000 4001333333333333 32 00000003"));
     REQUIRE(batch.happenings.size() == 5);
-    CHECK(batch.now == Span{8412250});
-    const auto &taken = std::get<CallTaken>(std::get<Event>(batch.happenings[0].what));
+    CHECK(batch.now == Timestamp{8412250});
+    const auto &taken = std::get<CallReceived>(std::get<Event>(batch.happenings[0].what));
     CHECK(taken.call == CallId{0x000b08315d3a91c4});
-    CHECK(taken.firstGateway == 1);
-    CHECK(taken.left == Span{240000});
+    CHECK(taken.gatewaySubsetStart == 1);
+    CHECK(taken.timeRemaining == Duration{240000});
     CHECK(taken.plan == PlanId{2});
     CHECK(taken.units == 2);
-    CHECK(taken.gateways == 3);
+    CHECK(taken.gatewaySubsetSize == 3);
     CHECK(taken.route == RouteId{1});
-    CHECK(taken.clientRepeat);
-    CHECK(taken.write);
+    CHECK(taken.isClientRetry);
+    CHECK(taken.isWrite);
     CHECK(taken.customer == CustomerId{0x91f03b7c55d20a64});
     const auto &ended = std::get<TryEnded>(std::get<Event>(batch.happenings[1].what));
     CHECK(ended.outcome == Outcome::timedOut);
-    CHECK(ended.latency == Span{18500});
-    CHECK(ended.callClosed);
-    CHECK(*ended.meteredShare == doctest::Approx(0.85));
-    CHECK(*ended.trueUnits == 3);
+    CHECK(ended.latency == Duration{18500});
+    CHECK(ended.isCallClosed);
+    CHECK(*ended.rateUsedFraction == doctest::Approx(0.85));
+    CHECK(*ended.actualUnits == 3);
     CHECK(ended.load == std::vector<double>{3});
-    const auto &listed = std::get<WorkerListed>(std::get<Event>(batch.happenings[2].what));
-    CHECK(listed.how == ListNews::cached);
+    const auto &listed = std::get<WorkerListUpdated>(std::get<Event>(batch.happenings[2].what));
+    CHECK(listed.kind == WorkerListKind::cached);
     CHECK(listed.workers.at(0).state == WorkerState::draining);
-    CHECK(listed.workers.at(0).cell == CellId{4});
-    CHECK(listed.workers.at(0).startedAt == Span{6100000});
-    CHECK(std::get<CountAnswered>(std::get<Event>(batch.happenings[3].what)).total == 38);
+    CHECK(listed.workers.at(0).group == WorkerGroupId{4});
+    CHECK(listed.workers.at(0).startedAt == Timestamp{6100000});
+    CHECK(std::get<AddToCountEnded>(std::get<Event>(batch.happenings[3].what)).total == 38);
     CHECK(batch.happenings[3].instance == InstanceNumber{4});
     CHECK(std::holds_alternative<Stopped>(batch.happenings[4].what));
 }
@@ -87,19 +87,20 @@
         const char *record;
     };
     const Row rows[] = {
-        {SendTry{{0x000b08315d3a91c4}, {0x03124a07}, Span{8412250}},
+        {SendTry{{0x000b08315d3a91c4}, {0x03124a07}, Timestamp{8412250}},
          "0a 00000003 000b08315d3a91c4 40c06e2000000000 03124a07"},
-        {RateLimit{{1}, std::nullopt}, "14 00000003 0000000000000001 0000000000000000"},
-        {GiveError{{1}}, "1e 00000003 0000000000000001"},
-        {CallOffTry{{1}, {2}}, "28 00000003 0000000000000001 02"},
-        {SetTimer{Span{8412250}, {0x4d}}, "32 00000003 40c06e2000000000 000000000000004d"},
+        {AnswerRateLimited{{1}, std::nullopt}, "14 00000003 0000000000000001 0000000000000000"},
+        {AnswerErrored{{1}}, "1e 00000003 0000000000000001"},
+        {CancelTry{{1}, {2}}, "28 00000003 0000000000000001 02"},
+        {SetTimer{Timestamp{8412250}, {0x4d}}, "32 00000003 40c06e2000000000 000000000000004d"},
         {ProbeWorker{{7}}, "3c 00000003 00000007"},
-        {CloseIdle{{7}}, "46 00000003 00000007"},
-        {TellPeers{std::nullopt, {std::byte{0x68}}}, "50 00000003 ffffffff 0001 68"},
-        {Note{"hi"}, "5a 00000003 0002 6869"},
-        {FollowList{true}, "6e 00000003 01"},
-        {FetchList{}, "78 00000003"},
-        {AddCount{{0x89f690}, 4, Span{8412250}}, "82 00000003 40c06e2000000000 000000000089f690 40800000"},
+        {CloseIdleConnections{{7}}, "46 00000003 00000007"},
+        {SendPeerMessage{std::nullopt, {std::byte{0x68}}}, "50 00000003 ffffffff 0001 68"},
+        {WriteLog{"hi"}, "5a 00000003 0002 6869"},
+        {WatchWorkerList{true}, "6e 00000003 01"},
+        {FetchWorkerList{}, "78 00000003"},
+        {AddToCount{{0x89f690}, 4, Duration{8412250}},
+         "82 00000003 40c06e2000000000 000000000089f690 40800000"},
     };
     for (const Row &row : rows) {
         CAPTURE(row.record);
@@ -149,12 +150,12 @@
 }
 
 TEST_CASE("settings become facts, and unknown keys are skipped") {
-    const SiteFacts facts = readSite(settings).facts;
-    CHECK(facts.gateways == 2);
+    const EngineSettings facts = readSettings(settings).engine;
+    CHECK(facts.gatewayCount == 2);
     CHECK(facts.routes.at(0).effect == Effect::tokened);
-    CHECK(facts.routes.at(0).repeatScope == RepeatScope::zone);
-    CHECK(facts.routes.at(0).latencyTarget == Span{500000});
-    CHECK(facts.reportWay == ReportWay::probes);
-    CHECK(facts.loadColumns == std::vector{LoadFigure::inHand, LoadFigure::other});
-    CHECK(!facts.mayCount);
+    CHECK(facts.routes.at(0).dedupScope == DedupScope::zone);
+    CHECK(facts.routes.at(0).latencyTarget == Duration{500000});
+    CHECK(facts.loadReportMode == LoadReportMode::byProbe);
+    CHECK(facts.loadColumns == std::vector{LoadMetric::inFlight, LoadMetric::other});
+    CHECK(!facts.mayUseCounter);
 }
