--- a/src/main.cpp
+++ b/src/main.cpp
@@ -23,7 +23,7 @@
     if (path == nullptr) throw arrowstile::ConfigError("EDGE_CONFIG names no start document");
     std::ifstream file(path);
     if (!file) throw arrowstile::ConfigError("can't read the start document '" + std::string(path) + "'");
-    return arrowstile::readStart(std::string(std::istreambuf_iterator<char>(file), {}));
+    return arrowstile::parseStartDocument(std::string(std::istreambuf_iterator<char>(file), {}));
 }
 
 struct Loop {
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -12,7 +12,7 @@
 // stop reading it, so that neither a flood nor a slow reader takes the memory of all.
 constexpr std::size_t mostWaiting = 512, mostUnsent = 256 * 1024, leastUnsent = 64 * 1024;
 // Beyond it a connection is closed: a command that never ends.
-constexpr std::size_t longestCommand = resp::longestValue + 8 * 1024, leastBegun = 1024;
+constexpr std::size_t longestCommand = resp::kMaxCommandValueBytes + 8 * 1024, leastBegun = 1024;
 // A connection that never sent a good command, and one with a command begun, get so long; the reader of an
 // error so long to fetch it before the rest of what it sends is cut off.
 constexpr Duration sweepEvery = milliseconds(250), patience = milliseconds(2000),
@@ -46,15 +46,16 @@
         resp::Command command;
         while (used < bytes.size() && !paused && !ending) {
             const auto parsed = resp::parseCommand(bytes.substr(used), command);
-            const bool endless = parsed == resp::Parsed::more && bytes.size() - used > longestCommand;
-            if (parsed == resp::Parsed::more && !endless) break;
-            if (parsed == resp::Parsed::broken || endless) {
-                ++all.around_.tally.badCommands;
+            const bool endless =
+                parsed == resp::ParseResult::incomplete && bytes.size() - used > longestCommand;
+            if (parsed == resp::ParseResult::incomplete && !endless) break;
+            if (parsed == resp::ParseResult::malformed || endless) {
+                ++all.around_.metrics.badCommands;
                 say("-ERR Protocol error\r\n");
                 ending = true;
                 break;
             }
-            used += command.used;
+            used += command.consumedBytes;
             lastUsed = all.around_.clock.now();
             all.obey(*this, command);
             holdBack();
@@ -77,13 +78,14 @@
         known = true;
         if (!std::exchange(stranger, false)) return;
         --all.strangers_;
-        if (all.links_.size() - all.strangers_ > all.around_.bounds.callers) all.letGo(Among::callers);
+        if (all.links_.size() - all.strangers_ > all.around_.limits.maxCallingClients)
+            all.letGo(Among::callers);
     }
 
     /// Whether it has kept us waiting too long, with nothing to wait for on our side.
     bool overdue(Timestamp now) const {
         if (finished) return now - lastUsed > lastWord;
-        return (!known || begun > 0) && queue.waiting() == 0 && now - lastUsed > patience;
+        return (!known || begun > 0) && queue.pendingCount() == 0 && now - lastUsed > patience;
     }
 
     void onDrained() override {
@@ -100,7 +102,7 @@
     void onClosed() override { all.end(id); }
 
     void say(std::string text) {
-        queue.answer(queue.open(), std::move(text));
+        queue.fillSlot(queue.reserveSlot(), std::move(text));
         all.unflushed_.insert(id);
     }
 
@@ -112,11 +114,11 @@
         stream->finish();
     }
 
-    bool idle() const { return queue.waiting() == 0 && stream->unsent() == 0 && begun == 0; }
+    bool idle() const { return queue.pendingCount() == 0 && stream->unsent() == 0 && begun == 0; }
 
     void holdBack() {
-        const bool full = queue.waiting() >= mostWaiting || stream->unsent() >= mostUnsent;
-        const bool easy = queue.waiting() <= mostWaiting / 2 && stream->unsent() <= leastUnsent;
+        const bool full = queue.pendingCount() >= mostWaiting || stream->unsent() >= mostUnsent;
+        const bool easy = queue.pendingCount() <= mostWaiting / 2 && stream->unsent() <= leastUnsent;
         if (!(paused ? easy : full)) return;
         paused = !paused;
         stream->pause(paused);
@@ -137,7 +139,7 @@
              [](uv_handle_t *handle) { delete reinterpret_cast<uv_tcp_t *>(handle); });
 }
 
-Clients::Clients(Surroundings &around, CallBook &book) : around_(around), book_(book) {
+Clients::Clients(Surroundings &around, PendingCallTable &book) : around_(around), book_(book) {
     around_.alarms.set(around_.clock.now() + sweepEvery, [this] { sweep(); });
 }
 
@@ -169,13 +171,13 @@
         const Link &link = *at->second;
         const bool strangers = whom == Among::strangers;
         if (whom != Among::all && link.stranger != strangers) continue;
-        if (strangers ? link.queue.waiting() > 0 : !link.idle()) continue;
+        if (strangers ? link.queue.pendingCount() > 0 : !link.idle()) continue;
         const bool older = oldest == links_.end() || link.lastUsed < oldest->second->lastUsed;
         const bool mayStay = !strangers || link.openSince != Timestamp::max();
         if (older && !(mayStay && link.stream->hasNews())) oldest = at;
     }
     if (oldest == links_.end()) return false;
-    ++around_.tally.clientsLetGo;
+    ++around_.metrics.clientsLetGo;
     links_.erase(oldest);
     return true;
 }
@@ -187,7 +189,7 @@
     for (const auto &[id, link] : links_)
         if (link->overdue(now)) overdue.push_back(id);
     for (const ClientId id : overdue) {
-        ++around_.tally.clientsLetGo;
+        ++around_.metrics.clientsLetGo;
         end(id);
     }
 }
@@ -198,63 +200,63 @@
 void Clients::accept() {
     const Timestamp since = waits_ ? *waits_ : around_.readAt;
     waits_.reset();
-    if (strangers_ >= around_.bounds.strangers && !letGo(Among::strangers)) {
+    if (strangers_ >= around_.limits.maxNonCallingClients && !letGo(Among::strangers)) {
         waits_ = since;
         return;
     }
-    const bool room = links_.size() < around_.bounds.clients || letGo(Among::all);
+    const bool room = links_.size() < around_.limits.maxClientConnections || letGo(Among::all);
     const ClientId id{++lastId_};
     cameAt_ = around_.clock.now();
     auto link = std::make_unique<Link>(*this, id, cameAt_, since);
     link->stream = Stream::accept(reinterpret_cast<uv_stream_t *>(listener_.get()), link.get());
     if (!link->stream) return;
-    ++(room ? around_.tally.clientsAccepted : around_.tally.clientsTurnedAway);
+    ++(room ? around_.metrics.clientsAccepted : around_.metrics.clientsTurnedAway);
     if (room) links_.emplace(id, std::move(link));
 }
 
 void Clients::obey(Link &link, const resp::Command &command) {
-    const std::string_view verb = command.words[0];
-    if (isApiCall(verb)) {
+    const std::string_view verb = command.arguments[0];
+    if (isApiCallCommand(verb)) {
         ApiCall call;
-        auto wrong = readApiCall(command, around_.start.site, call);
-        if (wrong.empty() && book_.holds(call.id)) wrong = "this id is open";
-        if (wrong.empty() && book_.bytes() + call.body.size() > around_.bounds.pool) {
-            ++around_.tally.rateLimited;
-            link.say(rateLimitAnswer(std::nullopt));
+        auto wrong = parseApiCall(command, around_.start.settings, call);
+        if (wrong.empty() && book_.hasRequestId(call.requestId)) wrong = "this id is open";
+        if (wrong.empty() && book_.bodyBytes() + call.body.size() > around_.limits.maxBufferedBytesPerKind) {
+            ++around_.metrics.callsRateLimited;
+            link.say(encodeRateLimitedAnswer(std::nullopt));
             return;
         }
         if (wrong.empty()) {
             // It may have come at any time since the sockets were last read, or before its connection was
             // taken.
             const Timestamp now = around_.clock.now();
-            call.taken.timeRemaining -= now - std::min(around_.readAt, link.openSince);
-            const Place place = link.queue.open();
-            const CallReceived taken = call.taken;
+            call.event.timeRemaining -= now - std::min(around_.readAt, link.openSince);
+            const AnswerSlot place = link.queue.reserveSlot();
+            const CallReceived taken = call.event;
             const CallId id = book_.add(std::move(call), link.id, place);
             link.asked();
             around_.happened.emplace_back(taken);
             std::get<CallReceived>(around_.happened.back()).call = id;
-            ++around_.tally.callsTaken;
+            ++around_.metrics.callsTaken;
             return;
         }
-        ++around_.tally.badCommands;
+        ++around_.metrics.badCommands;
         link.say("-ERR " + std::string(wrong) + "\r\n");
     } else if (verb == "PING") {
         link.known = true;
         link.say(ready_ ? "+PONG\r\n" : "-LOADING not ready yet\r\n");
     } else if (verb == "INFO") {
         link.known = true;
-        link.say(proxiedAnswer(around_.tally.text()));
+        link.say(encodeProxiedAnswer(around_.metrics.toText()));
     } else {
-        ++around_.tally.badCommands;
+        ++around_.metrics.badCommands;
         link.say("-ERR unknown command\r\n");
     }
 }
 
-void Clients::answer(const InHand &ended, std::string text) {
+void Clients::answer(const PendingCall &ended, std::string text) {
     const auto found = links_.find(ended.client);
     if (found == links_.end()) return;
-    found->second->queue.answer(ended.place, std::move(text));
+    found->second->queue.fillSlot(ended.slot, std::move(text));
     unflushed_.insert(ended.client);
 }
 
@@ -264,20 +266,21 @@
         if (found == links_.end()) continue;
         Link &link = *found->second;
         std::string text;
-        link.queue.take(text);
+        link.queue.popReady(text);
         link.stream->write(text);
         link.stream->flush();
         link.holdBack();
         const std::size_t left = link.left();
-        if (left > around_.bounds.leftByOne || (left_ > around_.bounds.pool && left > leastUnsent)) {
+        if (left > around_.limits.maxUnsentBytesPerClient ||
+            (left_ > around_.limits.maxBufferedBytesPerKind && left > leastUnsent)) {
             around_.log.warning("a client that does not fetch its answers is let go");
             end(id);
             continue;
         }
-        if (link.queue.waiting() == 0 && (link.ending || (closing_ && link.idle())))
+        if (link.queue.pendingCount() == 0 && (link.ending || (closing_ && link.idle())))
             link.finish(around_.clock.now());
     }
-    while (begun_ > around_.bounds.pool) endLongestBegun();
+    while (begun_ > around_.limits.maxBufferedBytesPerKind) endLongestBegun();
     if (waits_ && listener_) accept();
 }
 
@@ -286,13 +289,13 @@
     const auto longest = std::ranges::min_element(links_, {}, [](const auto &one) {
         return std::pair(one.second->begun <= leastBegun, one.second->lastUsed);
     });
-    ++around_.tally.clientsLetGo;
+    ++around_.metrics.clientsLetGo;
     end(longest->first);
 }
 
 void Clients::end(ClientId id) {
-    for (const CallId call : book_.drop(id)) {
-        ++around_.tally.clientsGone;
+    for (const CallId call : book_.removeAllOf(id)) {
+        ++around_.metrics.callsAbandoned;
         around_.happened.emplace_back(CallAbandoned{call});
     }
     links_.erase(id);
@@ -308,9 +311,9 @@
 /// errored, which promises nothing; one that is dropped unanswered would be lost.
 void Clients::answerRest() {
     for (const auto &[id, link] : links_) {
-        for (const CallId call : book_.owed(id)) {
-            answer(*book_.end(call), erroredAnswer());
-            ++around_.tally.errored;
+        for (const CallId call : book_.callsOf(id)) {
+            answer(*book_.remove(call), encodeErroredAnswer());
+            ++around_.metrics.callsErrored;
             around_.happened.emplace_back(CallAbandoned{call});
         }
     }
@@ -321,12 +324,12 @@
     closing_ = true;
     if (now - cameAt_ > noneCame || now - leftAt_ > comingMost) listener_.reset();
     Duration longest{};
-    for (const Route &route : around_.start.site.engine.routes)
+    for (const Route &route : around_.start.settings.engine.routes)
         longest = std::max(longest, route.clientTimeout);
     longest = std::min(longest, mostPatience);
     std::erase_if(links_, [&](const auto &one) {
         Link &link = *one.second;
-        if (link.finished) return link.queue.waiting() == 0 && now - link.lastUsed > lastWord;
+        if (link.finished) return link.queue.pendingCount() == 0 && now - link.lastUsed > lastWord;
         if (link.idle()) link.finish(now);
         return false;
     });
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <set>
 
-#include "core/call_book.hpp"
+#include "core/pending_calls.hpp"
 #include "stream.hpp"
 #include "surroundings.hpp"
 
@@ -14,13 +14,13 @@
 /// The side that faces clients: takes API calls off their connections and writes the answers in order.
 class Clients {
 public:
-    Clients(Surroundings &around, CallBook &book);
+    Clients(Surroundings &around, PendingCallTable &book);
     ~Clients();
 
     /// Throws ConfigError if the address can't be listened on.
     void listen(const Address &at);
     void ready() { ready_ = true; }
-    void answer(const InHand &ended, std::string text);
+    void answer(const PendingCall &ended, std::string text);
     void flush();
     /// A planned stop: connections close between calls, and nobody new is let in once nobody comes any more.
     void leave();
@@ -43,7 +43,7 @@
     void answerRest();
 
     Surroundings &around_;
-    CallBook &book_;
+    PendingCallTable &book_;
     std::unique_ptr<uv_tcp_t, CloseListener> listener_;
     std::size_t left_ = 0, begun_ = 0, strangers_ = 0;
     std::map<ClientId, std::unique_ptr<Link>> links_;
--- a/src/net/core/api_call.cpp
+++ b/src/net/core/api_call.cpp
@@ -35,17 +35,19 @@
 
 }  // namespace
 
-bool isApiCall(std::string_view verb) { return verb == askVerb || verb == doVerb; }
+bool isApiCallCommand(std::string_view commandName) {
+    return commandName == askVerb || commandName == doVerb;
+}
 
-std::string_view readApiCall(const resp::Command &command, const Settings &site, ApiCall &call) {
-    const auto &words = command.words;
+std::string_view parseApiCall(const resp::Command &command, const Settings &settings, ApiCall &call) {
+    const auto &words = command.arguments;
     if (words.size() < 4 || words.size() > 5) return "wrong number of arguments";
-    if (!readHex(words[1], call.taken.customer.value) || call.taken.customer.value >= customersEnd) {
+    if (!readHex(words[1], call.event.customer.value) || call.event.customer.value >= customersEnd) {
         return "no such customer";
     }
     if (words[2].empty() || words[2].size() > 64) return "no such id";
     const std::string_view list = words[3];
-    bool hasRoute = false, hasPlan = site.planNames.empty(), hasPatience = false;
+    bool hasRoute = false, hasPlan = settings.planNames.empty(), hasPatience = false;
     for (std::size_t at = 0; at <= list.size();) {
         const auto end = std::min(list.find(',', at), list.size());
         const auto item = list.substr(at, end - at);
@@ -53,52 +55,52 @@
         const auto name = item.substr(0, equals), value = item.substr(std::min(equals + 1, item.size()));
         double waitMs = 0;
         if (name == "c") {
-            if (!readName(site.routeNames, value, call.taken.route)) return "unknown class";
+            if (!readName(settings.routeNames, value, call.event.route)) return "unknown class";
             hasRoute = true;
         } else if (name == "t") {
-            if (!readName(site.planNames, value, call.taken.plan)) return "unknown plan";
+            if (!readName(settings.planNames, value, call.event.plan)) return "unknown plan";
             hasPlan = true;
         } else if (name == "d") {
             if (!readReal(value, 0, longestWaitMs, waitMs)) return "bad time";
-            call.taken.timeRemaining = Duration{std::llround(waitMs * 1000)};
-            call.before = list.substr(0, at + equals + 1);
-            call.after = list.substr(end);
+            call.event.timeRemaining = Duration{std::llround(waitMs * 1000)};
+            call.fieldsBeforeTimeout = list.substr(0, at + equals + 1);
+            call.fieldsAfterTimeout = list.substr(end);
             hasPatience = true;
         } else if (name == "units") {
-            if (!readReal(value, 0, site.engine.maxUnits, call.taken.units) || call.taken.units <= 0)
+            if (!readReal(value, 0, settings.engine.maxUnits, call.event.units) || call.event.units <= 0)
                 return "bad units";
         } else if (name == "spread") {
-            if (!readWhole(value, 1, site.engine.gatewayCount, call.taken.gatewaySubsetSize))
+            if (!readWhole(value, 1, settings.engine.gatewayCount, call.event.gatewaySubsetSize))
                 return "bad spread";
         } else if (name == "first") {
-            if (!readWhole(value, 0, site.engine.gatewayCount - 1, call.taken.gatewaySubsetStart))
+            if (!readWhole(value, 0, settings.engine.gatewayCount - 1, call.event.gatewaySubsetStart))
                 return "bad first";
         } else if (name == "r") {
-            call.taken.isClientRetry = value == "1";
+            call.event.isClientRetry = value == "1";
         }
         at = end + 1;
     }
     if (!hasRoute) return "no class";
     if (!hasPlan) return "no plan";
     if (!hasPatience) return "no time";
-    const bool asks = site.engine.routes[call.taken.route.value].effect == Effect::idempotent;
+    const bool asks = settings.engine.routes[call.event.route.value].effect == Effect::idempotent;
     if (asks != (words[0] == askVerb)) return "wrong command for this class";
-    call.verb = words[0];
-    call.customer = words[1];
-    call.id = words[2];
+    call.commandName = words[0];
+    call.customerHex = words[1];
+    call.requestId = words[2];
     call.hasBody = words.size() == 5;
     if (call.hasBody) call.body = words[4];
     return {};
 }
 
-void ApiCall::addCommand(std::string &out, Duration patience) const {
-    resp::addArrayHead(out, hasBody ? 5 : 4);
-    resp::addBulk(out, verb);
-    resp::addBulk(out, customer);
-    resp::addBulk(out, id);
-    const auto waitMs = std::max<std::int64_t>(1, patience.count() / 1000);
-    resp::addBulk(out, before + std::to_string(waitMs) + after);
-    if (hasBody) resp::addBulk(out, body);
+void ApiCall::appendCommand(std::string &out, Duration timeout) const {
+    resp::appendArrayHeader(out, hasBody ? 5 : 4);
+    resp::appendBulk(out, commandName);
+    resp::appendBulk(out, customerHex);
+    resp::appendBulk(out, requestId);
+    const auto waitMs = std::max<std::int64_t>(1, timeout.count() / 1000);
+    resp::appendBulk(out, fieldsBeforeTimeout + std::to_string(waitMs) + fieldsAfterTimeout);
+    if (hasBody) resp::appendBulk(out, body);
 }
 
 }  // namespace arrowstile
--- a/src/net/core/api_call.hpp
+++ b/src/net/core/api_call.hpp
@@ -9,20 +9,20 @@
 
 namespace arrowstile {
 
-/// A client's command as it is taken and as it is sent on: all but the client's patience passes unchanged.
+/// A client's command as it is taken and as it is sent on: all but the client's timeout passes unchanged.
 struct ApiCall {
-    CallReceived taken;
-    std::string verb, customer, id, before, after,
-        body;  ///< before and after: of the list, around the patience
+    CallReceived event;
+    std::string commandName, customerHex, requestId, fieldsBeforeTimeout, fieldsAfterTimeout,
+        body;  ///< fieldsBeforeTimeout and fieldsAfterTimeout: of the list, around the timeout
     bool hasBody = false;
 
     /// The command to a worker, telling it how long this gatekeeper will wait.
-    void addCommand(std::string &out, Duration patience) const;
+    void appendCommand(std::string &out, Duration timeout) const;
 };
 
 /// Reads a command of API calls; the result says what is wrong, or nothing.
-std::string_view readApiCall(const resp::Command &command, const Settings &site, ApiCall &call);
+std::string_view parseApiCall(const resp::Command &command, const Settings &settings, ApiCall &call);
 
-bool isApiCall(std::string_view verb);
+bool isApiCallCommand(std::string_view commandName);
 
 }  // namespace arrowstile
--- a/src/net/core/targets.hpp
+++ b/src/net/core/discovery_update.hpp
@@ -9,36 +9,36 @@
 namespace arrowstile {
 
 /// One worker as the list names it; where it is reached may differ between gatekeepers.
-struct Target {
+struct DiscoveredWorker {
     WorkerEntry entry;
     std::string address;
 };
 
-struct TargetNews {
+struct DiscoveryUpdate {
     std::uint64_t version = 0;
-    bool whole = false;
-    std::vector<Target> targets;
+    bool isSnapshot = false;
+    std::vector<DiscoveredWorker> workers;
 };
 
 /// Reads discovery's lists. A worker's id comes from its name alone, so that all gatekeepers give it the same
 /// one, also after a restart.
-class TargetReader {
+class DiscoveryParser {
 public:
-    explicit TargetReader(const Settings &site) : site_(site) {}
+    explicit DiscoveryParser(const Settings &settings) : settings_(settings) {}
 
     /// Throws ConfigError on what is no such list.
-    TargetNews read(std::string_view text);
+    DiscoveryUpdate parse(std::string_view text);
 
     /// How many names are kept.
-    std::size_t size() const { return names_.size(); }
+    std::size_t knownWorkerCount() const { return namesById_.size(); }
 
 private:
     WorkerId idOf(const std::string &name);
-    void forget(const TargetNews &news);
+    void removeGoneWorkers(const DiscoveryUpdate &news);
 
-    const Settings &site_;
-    std::map<std::string, WorkerId> ids_;
-    std::map<WorkerId, std::string> names_;
+    const Settings &settings_;
+    std::map<std::string, WorkerId> idsByName_;
+    std::map<WorkerId, std::string> namesById_;
 };
 
 }  // namespace arrowstile
--- a/src/net/core/http.hpp
+++ b/src/net/core/http.hpp
@@ -9,32 +9,32 @@
 
 namespace arrowstile {
 
-struct HttpAnswer {
+struct HttpResponse {
     int status = 0;
     std::string body;
-    bool keepsOpen = true;
+    bool isKeepAlive = true;
 };
 
 /// Takes answers out of the bytes of one connection, in order.
-class HttpAnswers {
+class HttpResponseParser {
 public:
-    HttpAnswers(std::size_t longestBody, std::function<void(HttpAnswer)> each);
-    HttpAnswers(const HttpAnswers &) = delete;
-    HttpAnswers &operator=(const HttpAnswers &) = delete;
+    HttpResponseParser(std::size_t maxBodyBytes, std::function<void(HttpResponse)> onResponse);
+    HttpResponseParser(const HttpResponseParser &) = delete;
+    HttpResponseParser &operator=(const HttpResponseParser &) = delete;
 
     /// False once the bytes are no HTTP or a body is too long: the connection is then of no more use.
-    bool take(std::string_view bytes);
+    bool parse(std::string_view bytes);
 
 private:
     static int onBody(http_parser *parser, const char *at, std::size_t size);
-    static int onWhole(http_parser *parser);
+    static int onMessageComplete(http_parser *parser);
 
     http_parser parser_{};
-    HttpAnswer now_;
-    std::size_t longestBody_;
-    std::function<void(HttpAnswer)> each_;
+    HttpResponse current_;
+    std::size_t maxBodyBytes_;
+    std::function<void(HttpResponse)> onResponse_;
 };
 
-std::string httpRequest(std::string_view method, std::string_view target, std::string_view host);
+std::string formatHttpRequest(std::string_view method, std::string_view target, std::string_view host);
 
 }  // namespace arrowstile
--- a/src/net/core/tally.cpp
+++ b/src/net/core/metrics.cpp
@@ -1,18 +1,18 @@
-#include "tally.hpp"
+#include "metrics.hpp"
 
 namespace arrowstile {
 
-std::string Tally::text() const {
+std::string Metrics::toText() const {
     const std::pair<const char *, std::uint64_t> lines[] = {
         {"clients_accepted", clientsAccepted},
         {"clients_turned_away", clientsTurnedAway},
         {"clients_let_go", clientsLetGo},
         {"bad_commands", badCommands},
         {"calls_taken", callsTaken},
-        {"calls_proxied", proxied},
-        {"calls_rate_limited", rateLimited},
-        {"calls_errored", errored},
-        {"calls_abandoned", clientsGone},
+        {"calls_proxied", callsProxied},
+        {"calls_rate_limited", callsRateLimited},
+        {"calls_errored", callsErrored},
+        {"calls_abandoned", callsAbandoned},
         {"tries_sent", triesSent},
         {"tries_answered", triesAnswered},
         {"tries_errored", triesErrored},
--- a/src/net/core/tally.hpp
+++ b/src/net/core/metrics.hpp
@@ -6,9 +6,10 @@
 namespace arrowstile {
 
 /// What a gatekeeper has taken in, sent and answered since its start.
-struct Tally {
+struct Metrics {
     std::uint64_t clientsAccepted = 0, clientsTurnedAway = 0, clientsLetGo = 0, badCommands = 0;
-    std::uint64_t callsTaken = 0, proxied = 0, rateLimited = 0, errored = 0, clientsGone = 0;
+    std::uint64_t callsTaken = 0, callsProxied = 0, callsRateLimited = 0, callsErrored = 0,
+                  callsAbandoned = 0;
     std::uint64_t triesSent = 0, triesAnswered = 0, triesErrored = 0, triesFull = 0, triesTimedOut = 0;
     std::uint64_t triesUnconnected = 0, triesReset = 0, triesCalledOff = 0, triesNotSent = 0,
                   repliesSpoilt = 0;
@@ -17,7 +18,7 @@
     std::uint64_t reloads = 0;
 
     /// One "name:value" a line.
-    std::string text() const;
+    std::string toText() const;
 };
 
 }  // namespace arrowstile
--- a/src/net/core/resp.cpp
+++ b/src/net/core/resp.cpp
@@ -15,23 +15,23 @@
 
     std::size_t used() const { return at_; }
 
-    Parsed line(std::string_view &text) {
+    ParseResult line(std::string_view &text) {
         const auto end = in_.find(lineEnd, at_);
         if (end == std::string_view::npos) {
-            return in_.size() - at_ > longestLine ? Parsed::broken : Parsed::more;
+            return in_.size() - at_ > longestLine ? ParseResult::malformed : ParseResult::incomplete;
         }
-        if (end - at_ > longestLine) return Parsed::broken;
+        if (end - at_ > longestLine) return ParseResult::malformed;
         text = in_.substr(at_, end - at_);
         at_ = end + lineEnd.size();
-        return Parsed::whole;
+        return ParseResult::complete;
     }
 
-    Parsed bulk(std::size_t size, std::string_view &text) {
-        if (in_.size() - at_ < size + lineEnd.size()) return Parsed::more;
+    ParseResult bulk(std::size_t size, std::string_view &text) {
+        if (in_.size() - at_ < size + lineEnd.size()) return ParseResult::incomplete;
         text = in_.substr(at_, size);
-        if (in_.substr(at_ + size, lineEnd.size()) != lineEnd) return Parsed::broken;
+        if (in_.substr(at_ + size, lineEnd.size()) != lineEnd) return ParseResult::malformed;
         at_ += size + lineEnd.size();
-        return Parsed::whole;
+        return ParseResult::complete;
     }
 
 private:
@@ -44,46 +44,47 @@
     return error == std::errc{} && end == text.data() + text.size();
 }
 
-Parsed headed(Reader &in, char mark, std::size_t most, std::size_t &count) {
+ParseResult headed(Reader &in, char mark, std::size_t most, std::size_t &count) {
     std::string_view line;
-    if (const auto parsed = in.line(line); parsed != Parsed::whole) return parsed;
+    if (const auto parsed = in.line(line); parsed != ParseResult::complete) return parsed;
     long long number = 0;
-    if (line.empty() || line[0] != mark || !readNumber(line.substr(1), number)) return Parsed::broken;
-    if (number < 0 || number > static_cast<long long>(most)) return Parsed::broken;
+    if (line.empty() || line[0] != mark || !readNumber(line.substr(1), number)) return ParseResult::malformed;
+    if (number < 0 || number > static_cast<long long>(most)) return ParseResult::malformed;
     count = static_cast<std::size_t>(number);
-    return Parsed::whole;
+    return ParseResult::complete;
 }
 
-Parsed readReply(Reader &in, Reply &reply, std::size_t longest, int depth) {
+ParseResult readReply(Reader &in, Reply &reply, std::size_t maxValueBytes, int depth) {
     std::string_view line;
-    if (const auto parsed = in.line(line); parsed != Parsed::whole) return parsed;
-    if (line.empty()) return Parsed::broken;
+    if (const auto parsed = in.line(line); parsed != ParseResult::complete) return parsed;
+    if (line.empty()) return ParseResult::malformed;
     reply.text = line.substr(1);
     long long count = 0;
     switch (line[0]) {
-        case '+': reply.kind = Reply::Kind::status; return Parsed::whole;
-        case '-': reply.kind = Reply::Kind::error; return Parsed::whole;
-        case ':': reply.kind = Reply::Kind::number; break;
+        case '+': reply.kind = Reply::Kind::status; return ParseResult::complete;
+        case '-': reply.kind = Reply::Kind::error; return ParseResult::complete;
+        case ':': reply.kind = Reply::Kind::integer; break;
         case '$': reply.kind = Reply::Kind::bulk; break;
         case '*': reply.kind = Reply::Kind::array; break;
-        default: return Parsed::broken;
+        default: return ParseResult::malformed;
     }
-    if (!readNumber(reply.text, count)) return Parsed::broken;
-    if (reply.kind == Reply::Kind::number) return Parsed::whole;
-    const auto most = reply.kind == Reply::Kind::bulk ? longest : mostWords;
-    if (count < -1 || count > static_cast<long long>(most)) return Parsed::broken;
+    if (!readNumber(reply.text, count)) return ParseResult::malformed;
+    if (reply.kind == Reply::Kind::integer) return ParseResult::complete;
+    const auto most = reply.kind == Reply::Kind::bulk ? maxValueBytes : kMaxArrayItemCount;
+    if (count < -1 || count > static_cast<long long>(most)) return ParseResult::malformed;
     if (count == -1) {
         reply.kind = Reply::Kind::null;
-        return Parsed::whole;
+        return ParseResult::complete;
     }
     if (reply.kind == Reply::Kind::bulk) return in.bulk(static_cast<std::size_t>(count), reply.text);
-    if (depth > 1) return Parsed::broken;
+    if (depth > 1) return ParseResult::malformed;
     reply.items.resize(static_cast<std::size_t>(count));
     for (Reply &item : reply.items) {
-        if (const auto parsed = readReply(in, item, longest, depth + 1); parsed != Parsed::whole)
+        if (const auto parsed = readReply(in, item, maxValueBytes, depth + 1);
+            parsed != ParseResult::complete)
             return parsed;
     }
-    return Parsed::whole;
+    return ParseResult::complete;
 }
 
 void addHead(std::string &out, char mark, std::size_t count) {
@@ -95,42 +96,45 @@
 
 }  // namespace
 
-Parsed parseCommand(std::string_view in, Command &command) {
-    command.words.clear();
-    if (!in.empty() && in[0] != '*') return Parsed::broken;  // before a whole line of it is waited for
+ParseResult parseCommand(std::string_view in, Command &command) {
+    command.arguments.clear();
+    if (!in.empty() && in[0] != '*')
+        return ParseResult::malformed;  // before a whole line of it is waited for
     Reader reader(in);
     std::size_t words = 0;
-    if (const auto parsed = headed(reader, '*', mostWords, words); parsed != Parsed::whole) return parsed;
-    if (words == 0) return Parsed::broken;
+    if (const auto parsed = headed(reader, '*', kMaxArrayItemCount, words); parsed != ParseResult::complete)
+        return parsed;
+    if (words == 0) return ParseResult::malformed;
     for (; words > 0; --words) {
         std::size_t size = 0;
         std::string_view word;
-        if (const auto parsed = headed(reader, '$', longestValue, size); parsed != Parsed::whole) {
+        if (const auto parsed = headed(reader, '$', kMaxCommandValueBytes, size);
+            parsed != ParseResult::complete) {
             return parsed;
         }
-        if (const auto parsed = reader.bulk(size, word); parsed != Parsed::whole) return parsed;
-        command.words.push_back(word);
+        if (const auto parsed = reader.bulk(size, word); parsed != ParseResult::complete) return parsed;
+        command.arguments.push_back(word);
     }
-    command.used = reader.used();
-    return Parsed::whole;
+    command.consumedBytes = reader.used();
+    return ParseResult::complete;
 }
 
-Parsed parseReply(std::string_view in, Reply &reply, std::size_t longest) {
+ParseResult parseReply(std::string_view in, Reply &reply, std::size_t maxValueBytes) {
     reply = {};
     Reader reader(in);
-    const auto parsed = readReply(reader, reply, longest, 0);
-    reply.used = reader.used();
+    const auto parsed = readReply(reader, reply, maxValueBytes, 0);
+    reply.consumedBytes = reader.used();
     return parsed;
 }
 
-void addArrayHead(std::string &out, std::size_t words) { addHead(out, '*', words); }
+void appendArrayHeader(std::string &out, std::size_t itemCount) { addHead(out, '*', itemCount); }
 
-void addBulk(std::string &out, std::string_view value) {
+void appendBulk(std::string &out, std::string_view value) {
     addHead(out, '$', value.size());
     out.append(value).append(lineEnd);
 }
 
-void addError(std::string &out, std::string_view text) {
+void appendError(std::string &out, std::string_view text) {
     out.push_back('-');
     for (const char byte : text) {
         if (byte != '\r' && byte != '\n') out.push_back(byte);
--- a/src/net/core/start_document.cpp
+++ b/src/net/core/start_document.cpp
@@ -12,7 +12,7 @@
 
 std::optional<Address> addressIn(const json &from, const char *key) {
     const std::string text = from.value(key, "");
-    return text.empty() ? std::nullopt : std::optional(readAddress(text, key));
+    return text.empty() ? std::nullopt : std::optional(parseAddress(text, key));
 }
 
 Address neededIn(const json &from, const char *key) {
@@ -33,9 +33,9 @@
 
 }  // namespace
 
-Address readAddress(std::string_view text, std::string_view whose) {
+Address parseAddress(std::string_view text, std::string_view label) {
     const auto wrong = [&] {
-        return ConfigError("'" + std::string(whose) + "' is '" + std::string(text) + "', not IPV4:PORT");
+        return ConfigError("'" + std::string(label) + "' is '" + std::string(text) + "', not IPV4:PORT");
     };
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos || colon == 0) throw wrong();
@@ -49,26 +49,27 @@
     return address;
 }
 
-StartDocument readStart(std::string_view text) {
+StartDocument parseStartDocument(std::string_view text) {
     StartDocument start;
     try {
         const json all = json::parse(text);
         start.name = all.value("name", "");
-        start.listen = neededIn(all, "listen");
-        start.discovery = neededIn(all, "discovery");
-        start.counter = addressIn(all, "counter");
-        start.peerListen = addressIn(all, "peer_listen");
-        start.peersAll = addressIn(all, "peers_all");
+        start.listenAddress = neededIn(all, "listen");
+        start.discoveryAddress = neededIn(all, "discovery");
+        start.counterAddress = addressIn(all, "counter");
+        start.peerListenAddress = addressIn(all, "peer_listen");
+        start.allPeersAddress = addressIn(all, "peers_all");
         for (const json &peer : all.value("peers", json::array())) {
-            start.peers.push_back(readAddress(peer.get<std::string>(), "peers"));
+            start.peerAddresses.push_back(parseAddress(peer.get<std::string>(), "peers"));
         }
         start.seed = readSeed(all);
         const json limits = all.value("limits", json::object());
-        start.sockets = limits.value("sockets", start.sockets);
-        start.memoryMb = limits.value("memory_mb", start.memoryMb);
-        if (all.contains("known") && all.at("known").is_object()) start.known = all.at("known").dump();
-        start.settings = all.at("settings").dump();
-        start.site = readSettings(start.settings);
+        start.maxSockets = limits.value("sockets", start.maxSockets);
+        start.maxMemoryMb = limits.value("memory_mb", start.maxMemoryMb);
+        if (all.contains("known") && all.at("known").is_object())
+            start.cachedWorkerListJson = all.at("known").dump();
+        start.settingsJson = all.at("settings").dump();
+        start.settings = readSettings(start.settingsJson);
     } catch (const json::exception &error) {
         throw ConfigError(std::string("start document: ") + error.what());
     }
--- a/src/net/core/start_document.hpp
+++ b/src/net/core/start_document.hpp
@@ -16,22 +16,22 @@
 };
 
 /// Throws ConfigError, naming what the address is of.
-Address readAddress(std::string_view text, std::string_view whose);
+Address parseAddress(std::string_view text, std::string_view label);
 
 /// All that a gatekeeper is told when it starts.
 struct StartDocument {
     std::string name;
-    Address listen, discovery;
-    std::optional<Address> counter, peerListen, peersAll;
-    std::vector<Address> peers;
+    Address listenAddress, discoveryAddress;
+    std::optional<Address> counterAddress, peerListenAddress, allPeersAddress;
+    std::vector<Address> peerAddresses;
     std::uint64_t seed = 0;
-    unsigned sockets = 1024, memoryMb = 192;
-    std::string settings;  ///< as they were written, to tell whether they changed
-    std::string known;     ///< the list of workers as last seen, empty if there is none
-    Settings site;
+    unsigned maxSockets = 1024, maxMemoryMb = 192;
+    std::string settingsJson;          ///< as they were written, to tell whether they changed
+    std::string cachedWorkerListJson;  ///< the list of workers as last seen, empty if there is none
+    Settings settings;
 };
 
 /// Throws ConfigError with one line that says what is wrong.
-StartDocument readStart(std::string_view text);
+StartDocument parseStartDocument(std::string_view text);
 
 }  // namespace arrowstile
--- a/src/net/core/worker_reply.cpp
+++ b/src/net/core/worker_reply.cpp
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-std::vector<double> readLoad(std::string_view text, const Settings &site) {
+std::vector<double> parseLoadReport(std::string_view text, const Settings &settings) {
     std::vector<double> load;
-    for (const std::string &column : site.loadColumnNames) {
+    for (const std::string &column : settings.loadColumnNames) {
         auto value = figure(text, column);
         if (!value) value = figure(text, spelledOut(column));
         if (!value) return {};
@@ -51,12 +51,12 @@
     return load;
 }
 
-bool mayBeReply(std::string_view begun, std::size_t longest) {
-    const bool known = begun.empty() || begun[0] == '*' || begun[0] == '-';
-    return known && begun.size() <= longest + besideValue;
+bool mayBecomeCallReply(std::string_view received, std::size_t maxValueBytes) {
+    const bool known = received.empty() || received[0] == '*' || received[0] == '-';
+    return known && received.size() <= maxValueBytes + besideValue;
 }
 
-WorkerReply readWorkerReply(const resp::Reply &reply, const Settings &site) {
+WorkerReply parseWorkerReply(const resp::Reply &reply, const Settings &settings) {
     using Kind = resp::Reply::Kind;
     WorkerReply read;
     const auto &items = reply.items;
@@ -64,18 +64,19 @@
         read.outcome = Outcome::answered;
         read.value = items[0].text;
         if (items[1].kind == Kind::bulk) {
-            if (const auto used = figure(items[1].text, "used")) read.meteredShare = *used / 100;
-            if (site.engine.hasActualUnits) read.trueUnits = figure(items[1].text, "cost");
+            if (const auto used = figure(items[1].text, "used")) read.rateUsedFraction = *used / 100;
+            if (settings.engine.hasActualUnits) read.actualUnits = figure(items[1].text, "cost");
         }
-        if (items[2].kind == Kind::bulk) read.load = readLoad(items[2].text, site);
+        if (items[2].kind == Kind::bulk) read.load = parseLoadReport(items[2].text, settings);
     } else if (reply.kind == Kind::error) {
         const auto word = reply.text.substr(0, reply.text.find(' '));
         if (word == "BUSY") read.outcome = Outcome::overloaded;
-        read.misspelt = word == "SYNTAX";
+        read.isSyntaxError = word == "SYNTAX";
         const auto last = reply.text.rfind(' ');
-        if (last != std::string_view::npos) read.load = readLoad(reply.text.substr(last + 1), site);
+        if (last != std::string_view::npos)
+            read.load = parseLoadReport(reply.text.substr(last + 1), settings);
     } else {
-        read.spoilt = true;
+        read.isUnexpected = true;
     }
     return read;
 }
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -14,7 +14,7 @@
 constexpr Duration sweepEvery = milliseconds(500), idleMost = milliseconds(4000);
 
 /// An answer with no number in it still says that the call had its turn: the amount was added.
-Outcome outcomeOf(const HttpAnswer &answer, double &total) {
+Outcome outcomeOf(const HttpResponse &answer, double &total) {
     if (answer.status == 503) return Outcome::overloaded;
     if (answer.status == 400 || answer.status == 404) return Outcome::connectFailed;  // nothing was added
     const std::string_view body = answer.body;
@@ -29,7 +29,7 @@
 
 struct Counter::Link final : Stream::Holder {
     explicit Link(Counter &counter)
-        : all(counter), answers(longestTotal, [this](HttpAnswer answer) { hear(answer); }) {}
+        : all(counter), answers(longestTotal, [this](HttpResponse answer) { hear(answer); }) {}
 
     ~Link() {
         all.around_.alarms.clear(gives);
@@ -42,7 +42,7 @@
     }
 
     std::size_t onBytes(std::string_view bytes) override {
-        const bool sound = answers.take(bytes) && !closes;
+        const bool sound = answers.parse(bytes) && !closes;
         if (sound && (busy || !retired)) return bytes.size();
         all.drop(*this, true);
         return 0;
@@ -50,10 +50,10 @@
 
     void onClosed() override { all.drop(*this, false); }
 
-    void hear(const HttpAnswer &answer) {
+    void hear(const HttpResponse &answer) {
         double total = 0;
         const Outcome outcome = outcomeOf(answer, total);
-        closes = closes || !answer.keepsOpen || !busy || outcome == Outcome::errored;
+        closes = closes || !answer.isKeepAlive || !busy || outcome == Outcome::errored;
         if (!std::exchange(busy, false)) return;
         idleSince = all.around_.clock.now();
         all.around_.alarms.clear(gives);
@@ -61,7 +61,7 @@
     }
 
     Counter &all;
-    HttpAnswers answers;
+    HttpResponseParser answers;
     Stream::Ptr stream;
     CountName name;
     Timestamp sentAt{}, idleSince{};
@@ -85,23 +85,24 @@
         std::rotate(free.base() - 1, free.base(), links_.end());
         link = links_.back().get();
     } else {
-        if (links_.size() >= around_.bounds.counters) {
+        if (links_.size() >= around_.limits.maxCounterConnections) {
             const auto oldest = std::ranges::min_element(
                 links_, {}, [](const auto &one) { return std::pair(!one->late, one->sentAt); });
             drop(**oldest, false);
         }
         link = connect();
     }
-    ++around_.tally.countsSent;
+    ++around_.metrics.countsSent;
     if (link == nullptr) return ended(action.name, now, Outcome::connectFailed, 0);
     char target[128];
     const int size =
         std::snprintf(target, sizeof target, "/v2/numbers/%016llx?delta=%.9g&life_ms=%lld",
                       static_cast<unsigned long long>(action.name.value), action.amount,
                       static_cast<long long>(std::max<std::int64_t>(1, action.lifetime.count() / 1000)));
-    const Address &at = *around_.start.counter;
-    const std::string text = httpRequest("POST", std::string_view(target, static_cast<std::size_t>(size)),
-                                         at.host + ":" + std::to_string(at.port));
+    const Address &at = *around_.start.counterAddress;
+    const std::string text =
+        formatHttpRequest("POST", std::string_view(target, static_cast<std::size_t>(size)),
+                          at.host + ":" + std::to_string(at.port));
     link->stream->write(text);
     link->written += text.size();
     link->name = action.name;
@@ -122,11 +123,11 @@
 }
 
 Counter::Link *Counter::connect() {
-    if (!around_.start.counter) return nullptr;
+    if (!around_.start.counterAddress) return nullptr;
     auto made = std::make_unique<Link>(*this);
-    made->stream = Stream::connect(around_.loop, *around_.start.counter, made.get());
+    made->stream = Stream::connect(around_.loop, *around_.start.counterAddress, made.get());
     if (!made->stream) return nullptr;
-    ++around_.tally.counterConnections;
+    ++around_.metrics.counterConnections;
     links_.push_back(std::move(made));
     return links_.back().get();
 }
@@ -144,7 +145,7 @@
 }
 
 void Counter::ended(CountName name, Timestamp sentAt, Outcome outcome, double total) {
-    ++(outcome == Outcome::answered ? around_.tally.countsAnswered : around_.tally.countsLost);
+    ++(outcome == Outcome::answered ? around_.metrics.countsAnswered : around_.metrics.countsLost);
     around_.happened.emplace_back(AddToCountEnded{name, outcome, total, around_.clock.now() - sentAt});
 }
 
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -2,8 +2,8 @@
 
 #include <functional>
 
+#include "core/discovery_update.hpp"
 #include "core/http.hpp"
-#include "core/targets.hpp"
 #include "stream.hpp"
 #include "surroundings.hpp"
 
@@ -12,7 +12,7 @@
 /// The side that faces discovery: a watch that never ends, and whole lists when they are asked for.
 class Discovery final : Stream::Holder {
 public:
-    using Heard = std::function<void(TargetNews, WorkerListKind how)>;
+    using Heard = std::function<void(DiscoveryUpdate, WorkerListKind how)>;
 
     Discovery(Surroundings &around, Heard heard);
 
@@ -28,14 +28,14 @@
     void onOpen() override;
     void onClosed() override { again(); }
 
-    void hear(const HttpAnswer &answer);
+    void hear(const HttpResponse &answer);
     void call();
     void again();
 
     Surroundings &around_;
     Heard heard_;
-    TargetReader reader_;
-    std::unique_ptr<HttpAnswers> answers_;
+    DiscoveryParser reader_;
+    std::unique_ptr<HttpResponseParser> answers_;
     Stream::Ptr stream_;
     Alarms::Key alarm_{};
     std::uint64_t version_ = 0;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -18,17 +18,18 @@
 Gateway::Gateway(uv_loop_t *loop, StartDocument start, Log &log, std::function<StartDocument()> reread)
     : around_{.loop = loop, .start = std::move(start), .log = log},
       reread_(std::move(reread)),
-      keeper_(around_.start.site.engine, around_.start.seed),
+      keeper_(around_.start.settings.engine, around_.start.seed),
       clients_(around_, book_),
       workers_(
           around_, [this](CallId call, std::string_view value) { answered(call, value); },
           [this](CallId call) { return book_.find(call) == nullptr; }),
       counter_(around_),
       discovery_(around_,
-                 [this](const TargetNews &news, WorkerListKind how) {
+                 [this](const DiscoveryUpdate &news, WorkerListKind how) {
                      workers_.list(news);
                      WorkerListUpdated listed{how, news.version, {}};
-                     for (const Target &target : news.targets) listed.workers.push_back(target.entry);
+                     for (const DiscoveredWorker &target : news.workers)
+                         listed.workers.push_back(target.entry);
                      around_.happened.emplace_back(std::move(listed));
                      if (how == WorkerListKind::snapshot || how == WorkerListKind::delta) clients_.ready();
                  }),
@@ -61,16 +62,16 @@
         asked_.get(),
         [](uv_signal_t *signal, int) {
             const Surroundings &around = static_cast<Gateway *>(signal->data)->around_;
-            around.log.info("counters\n", around.tally.text());
+            around.log.info("counters\n", around.metrics.toText());
         },
         SIGUSR1);
     uv_signal_start(
         renewed_.get(), [](uv_signal_t *signal, int) { static_cast<Gateway *>(signal->data)->reload(); },
         SIGHUP);
-    clients_.listen(start.listen);
+    clients_.listen(start.listenAddress);
     peers_.listen();
-    if (!start.known.empty()) {
-        discovery_.known(start.known);
+    if (!start.cachedWorkerListJson.empty()) {
+        discovery_.known(start.cachedWorkerListJson);
         around_.alarms.set(around_.clock.now() + readyMost, [this] { clients_.ready(); });
     }
     discovery_.follow(true);
@@ -78,9 +79,9 @@
     uv_prepare_start(before_.get(),
                      [](uv_prepare_t *handle) { static_cast<Gateway *>(handle->data)->wake(); });
     uv_check_start(after_.get(), [](uv_check_t *handle) { static_cast<Gateway *>(handle->data)->turn(); });
-    around_.log.info(start.name, " serving on ", start.listen.host, ":", start.listen.port);
+    around_.log.info(start.name, " serving on ", start.listenAddress.host, ":", start.listenAddress.port);
     uv_run(around_.loop, UV_RUN_DEFAULT);
-    around_.log.info("counters\n", around_.tally.text());
+    around_.log.info("counters\n", around_.metrics.toText());
 }
 
 void Gateway::stop() {
@@ -94,19 +95,20 @@
     try {
         StartDocument fresh = reread_();
         StartDocument &start = around_.start;
-        if (fresh.listen != start.listen || fresh.peerListen != start.peerListen ||
-            fresh.sockets != start.sockets || fresh.memoryMb != start.memoryMb ||
-            fresh.settings != start.settings) {
+        if (fresh.listenAddress != start.listenAddress ||
+            fresh.peerListenAddress != start.peerListenAddress || fresh.maxSockets != start.maxSockets ||
+            fresh.maxMemoryMb != start.maxMemoryMb || fresh.settingsJson != start.settingsJson) {
             around_.log.warning("reload: listen addresses, limits and settings change with a restart only");
         }
-        const bool discovery = fresh.discovery != start.discovery, counter = fresh.counter != start.counter;
-        start.discovery = fresh.discovery;
-        start.counter = fresh.counter;
-        start.peers = std::move(fresh.peers);
-        start.peersAll = fresh.peersAll;
+        const bool discovery = fresh.discoveryAddress != start.discoveryAddress,
+                   counter = fresh.counterAddress != start.counterAddress;
+        start.discoveryAddress = fresh.discoveryAddress;
+        start.counterAddress = fresh.counterAddress;
+        start.peerAddresses = std::move(fresh.peerAddresses);
+        start.allPeersAddress = fresh.allPeersAddress;
         if (counter) counter_.move();
         if (discovery) discovery_.move();
-        ++around_.tally.reloads;
+        ++around_.metrics.reloads;
         around_.log.info("reloaded");
     } catch (const ConfigError &error) {
         around_.log.error("reload: ", error.what(), "; all stays as it was");
@@ -159,31 +161,31 @@
 }
 
 void Gateway::answered(CallId call, std::string_view value) {
-    const auto ended = book_.end(call);
+    const auto ended = book_.remove(call);
     if (!ended) return;
-    ++around_.tally.proxied;
-    clients_.answer(*ended, proxiedAnswer(value));
+    ++around_.metrics.callsProxied;
+    clients_.answer(*ended, encodeProxiedAnswer(value));
 }
 
 void Gateway::carry(const SendTry &action) {
-    InHand *held = book_.find(action.call);
-    const TryNumber number{static_cast<std::uint8_t>(held != nullptr ? held->tries++ : 0)};
+    PendingCall *held = book_.find(action.call);
+    const TryNumber number{static_cast<std::uint8_t>(held != nullptr ? held->tryCount++ : 0)};
     if (held == nullptr) return workers_.notSent(action, number);
     workers_.send(action, number, held->call);
 }
 
 void Gateway::carry(const AnswerRateLimited &action) {
-    const auto ended = book_.end(action.call);
+    const auto ended = book_.remove(action.call);
     if (!ended) return;
-    ++around_.tally.rateLimited;
-    clients_.answer(*ended, rateLimitAnswer(action.retryAfter));
+    ++around_.metrics.callsRateLimited;
+    clients_.answer(*ended, encodeRateLimitedAnswer(action.retryAfter));
 }
 
 void Gateway::carry(const AnswerErrored &action) {
-    const auto ended = book_.end(action.call);
+    const auto ended = book_.remove(action.call);
     if (!ended) return;
-    ++around_.tally.errored;
-    clients_.answer(*ended, erroredAnswer());
+    ++around_.metrics.callsErrored;
+    clients_.answer(*ended, encodeErroredAnswer());
 }
 
 void Gateway::carry(const SetTimer &action) {
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "clients.hpp"
-#include "core/call_book.hpp"
+#include "core/pending_calls.hpp"
 #include "counter.hpp"
 #include "discovery.hpp"
 #include "peers.hpp"
@@ -59,7 +59,7 @@
     Surroundings around_;
     std::function<StartDocument()> reread_;
     DecisionEngine keeper_;
-    CallBook book_;
+    PendingCallTable book_;
     Clients clients_;
     Workers workers_;
     Counter counter_;
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -23,11 +23,11 @@
 }
 
 void Peers::listen() {
-    if (!around_.start.peerListen || !around_.start.site.engine.maySendPeerMessages) return;
+    if (!around_.start.peerListenAddress || !around_.start.settings.engine.maySendPeerMessages) return;
     socket_.reset(new uv_udp_t);
     uv_udp_init(around_.loop, socket_.get());
     socket_->data = this;
-    const sockaddr_in at = socketAddress(*around_.start.peerListen);
+    const sockaddr_in at = socketAddress(*around_.start.peerListenAddress);
     const int error = uv_udp_bind(socket_.get(), reinterpret_cast<const sockaddr *>(&at), 0);
     if (error != 0) throw ConfigError(std::string("can't bind 'peer_listen': ") + uv_strerror(error));
     uv_udp_recv_start(
@@ -46,26 +46,27 @@
 
 /// What comes from no peer's address, or is too long for a message, is passed over.
 void Peers::hear(std::string_view bytes, const sockaddr_in &from) {
-    const auto &peers = around_.start.peers;
+    const auto &peers = around_.start.peerAddresses;
     const auto peer = std::ranges::find_if(
         peers, [&](const Address &address) { return sameAddress(socketAddress(address), from); });
     if (peer == peers.end() || bytes.size() > longestMessage) return;
-    ++around_.tally.peerMessagesIn;
+    ++around_.metrics.peerMessagesIn;
     PeerMessageReceived heard{{static_cast<std::uint32_t>(peer - peers.begin())}, {}};
     for (const char byte : bytes) heard.bytes.push_back(static_cast<std::byte>(byte));
     around_.happened.emplace_back(std::move(heard));
 }
 
 void Peers::tell(const SendPeerMessage &message) {
-    const auto &peers = around_.start.peers;
+    const auto &peers = around_.start.peerAddresses;
     if (!socket_ || message.bytes.size() > longestMessage) return;
-    if (message.peer ? message.peer->value >= peers.size() : !around_.start.peersAll) return;
-    const sockaddr_in to = socketAddress(message.peer ? peers[message.peer->value] : *around_.start.peersAll);
+    if (message.peer ? message.peer->value >= peers.size() : !around_.start.allPeersAddress) return;
+    const sockaddr_in to =
+        socketAddress(message.peer ? peers[message.peer->value] : *around_.start.allPeersAddress);
     std::vector<std::byte> bytes = message.bytes;
     uv_buf_t buffer =
         uv_buf_init(reinterpret_cast<char *>(bytes.data()), static_cast<unsigned>(bytes.size()));
     if (uv_udp_try_send(socket_.get(), &buffer, 1, reinterpret_cast<const sockaddr *>(&to)) >= 0) {
-        ++around_.tally.peerMessagesOut;
+        ++around_.metrics.peerMessagesOut;
     }
 }
 
--- a/src/net/surroundings.hpp
+++ b/src/net/surroundings.hpp
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "clock.hpp"
-#include "core/bounds.hpp"
+#include "core/metrics.hpp"
+#include "core/resource_limits.hpp"
 #include "core/start_document.hpp"
-#include "core/tally.hpp"
 #include "log.hpp"
 
 namespace arrowstile {
@@ -19,10 +19,10 @@
     uv_loop_t *loop;
     StartDocument start;  ///< of the addresses in it the latest, the rest as it was at the start
     Log &log;
-    const Bounds bounds{start.sockets, start.memoryMb};
+    const ResourceLimits limits{start.maxSockets, start.maxMemoryMb};
     Clock clock{};
     Alarms alarms{};
-    Tally tally{};
+    Metrics metrics{};
     std::vector<Event> happened{};  ///< since the decisions were last asked
     Timestamp readAt{};             ///< when sockets were last read: what is read now has come since
 };
--- a/src/net/workers.cpp
+++ b/src/net/workers.cpp
@@ -79,25 +79,25 @@
     : around_(around),
       answered_(std::move(answered)),
       isOver_(std::move(isOver)),
-      idleMost_(around.start.site.workerIdleTimeout / idlePart) {
+      idleMost_(around.start.settings.workerIdleTimeout / idlePart) {
     around_.alarms.set(around_.clock.now() + sweepEvery, [this] { sweep(); });
 }
 
 Workers::~Workers() { pools_.clear(); }
 
-void Workers::list(const TargetNews &news) {
-    if (news.whole) {
+void Workers::list(const DiscoveryUpdate &news) {
+    if (news.isSnapshot) {
         for (auto &[id, pool] : pools_) {
             pool.ready = false;
             pool.gone = true;
         }
     }
-    for (const Target &target : news.targets) {
+    for (const DiscoveredWorker &target : news.workers) {
         Pool &pool = pools_[target.entry.worker];
         Address address = pool.address;
         if (!target.address.empty()) {
             try {
-                address = readAddress(target.address, "address of a worker");
+                address = parseAddress(target.address, "address of a worker");
                 pool.reachable = true;
             } catch (const ConfigError &error) {
                 around_.log.warning(error.what());
@@ -128,20 +128,20 @@
     Out out{action.worker, action.call, number, false, now, action.deadline - now};
     if (out.patience <= Duration{}) return ended(out, Outcome::notSent, nullptr);
     std::string command;
-    call.addCommand(command, out.patience);
+    call.appendCommand(command, out.patience);
     put(found->second, action.worker, out, std::move(command));
 }
 
 void Workers::probe(WorkerId worker) {
     const auto found = pools_.find(worker);
     const Timestamp now = around_.clock.now();
-    Out out{worker, {}, {}, true, now, around_.start.site.engine.connectTimeout};
+    Out out{worker, {}, {}, true, now, around_.start.settings.engine.connectTimeout};
     if (found == pools_.end()) return ended(out, Outcome::connectFailed, nullptr);
     std::string command;
-    const bool wantsLoad = around_.start.site.engine.loadReportMode == LoadReportMode::byProbe;
-    resp::addArrayHead(command, wantsLoad ? 2 : 1);
-    resp::addBulk(command, wantsLoad ? "INFO" : "PING");
-    if (wantsLoad) resp::addBulk(command, "load");
+    const bool wantsLoad = around_.start.settings.engine.loadReportMode == LoadReportMode::byProbe;
+    resp::appendArrayHeader(command, wantsLoad ? 2 : 1);
+    resp::appendBulk(command, wantsLoad ? "INFO" : "PING");
+    if (wantsLoad) resp::appendBulk(command, "load");
     put(found->second, worker, out, std::move(command));
 }
 
@@ -151,18 +151,19 @@
     Link *link = takeIdle(pool);
     if (link != nullptr) {
         // the usual case
-    } else if (links_ < around_.bounds.workers) {
+    } else if (links_ < around_.limits.maxWorkerConnections) {
         link = pool.reachable ? connect(pool, worker) : nullptr;
         if (link == nullptr) return ended(out, Outcome::connectFailed, nullptr);
     } else {
         const auto least = std::ranges::min_element(
             pool.links, {}, [](const auto &one) { return std::pair(!one->open, one->out.size()); });
-        if (least == pool.links.end() || (*least)->out.size() >= around_.start.site.maxTriesPerConnection) {
+        if (least == pool.links.end() ||
+            (*least)->out.size() >= around_.start.settings.maxTriesPerConnection) {
             return ended(out, Outcome::notSent, nullptr);
         }
         link = least->get();
     }
-    ++around_.tally.triesSent;
+    ++around_.metrics.triesSent;
     link->stream->write(command);
     link->written += command.size();
     out.lastByte = link->written;
@@ -200,8 +201,8 @@
     ++links_;
     link->stream = Stream::connect(around_.loop, pool.address, link);
     if (!link->stream) return nullptr;
-    ++around_.tally.workerConnections;
-    link->comesUp = around_.alarms.set(around_.clock.now() + around_.start.site.engine.connectTimeout,
+    ++around_.metrics.workerConnections;
+    link->comesUp = around_.alarms.set(around_.clock.now() + around_.start.settings.engine.connectTimeout,
                                        [this, link] { drop(*link, Outcome::connectFailed); });
     pool.links.push_back(std::move(made));
     return link;
@@ -234,27 +235,27 @@
     heard = true;
     while (used < bytes.size()) {
         const auto rest = bytes.substr(used);
-        const auto longest = all.around_.bounds.longestValue;
-        const auto parsed = out.empty() || !(out.front().probe || mayBeReply(rest, longest))
-                                ? resp::Parsed::broken
+        const auto longest = all.around_.limits.maxReplyValueBytes;
+        const auto parsed = out.empty() || !(out.front().probe || mayBecomeCallReply(rest, longest))
+                                ? resp::ParseResult::malformed
                                 : resp::parseReply(rest, reply, longest);
-        if (parsed == resp::Parsed::more) break;
-        if (parsed == resp::Parsed::broken) return spoilt();
-        used += reply.used;
+        if (parsed == resp::ParseResult::incomplete) break;
+        if (parsed == resp::ParseResult::malformed) return spoilt();
+        used += reply.consumedBytes;
         const Out one = out.front();
         out.pop_front();
         all.around_.alarms.clear(one.alarm);
-        WorkerReply read = readWorkerReply(reply, all.around_.start.site);
+        WorkerReply read = parseWorkerReply(reply, all.around_.start.settings);
         if (one.probe) {
             const bool load = reply.kind == resp::Reply::Kind::bulk;
-            if (load) read.load = readLoad(reply.text, all.around_.start.site);
+            if (load) read.load = parseLoadReport(reply.text, all.around_.start.settings);
             if (load || reply.kind == resp::Reply::Kind::status) read.outcome = Outcome::answered;
         }
-        if (read.spoilt && !one.probe) {
+        if (read.isUnexpected && !one.probe) {
             out.push_front(one);
             return spoilt();
         }
-        if (read.misspelt) all.around_.log.error("a worker could not read a command: ", reply.text);
+        if (read.isSyntaxError) all.around_.log.error("a worker could not read a command: ", reply.text);
         all.ended(one, read.outcome, &read);
     }
     if (out.empty()) {
@@ -273,22 +274,22 @@
 /// Nothing on this connection can be told from what belongs to it any more. A try on it may have run; it says
 /// little of the worker, so it counts as one that errored.
 std::size_t Workers::Link::spoilt() {
-    if (!out.empty()) ++all.around_.tally.repliesSpoilt;
+    if (!out.empty()) ++all.around_.metrics.repliesSpoilt;
     all.drop(*this, Outcome::errored);
     return 0;
 }
 
 void Workers::ended(const Out &out, Outcome outcome, const WorkerReply *reply) {
-    Tally &tally = around_.tally;
+    Metrics &metrics = around_.metrics;
     switch (outcome) {
-        case Outcome::answered: ++tally.triesAnswered; break;
-        case Outcome::errored: ++tally.triesErrored; break;
-        case Outcome::overloaded: ++tally.triesFull; break;
-        case Outcome::timedOut: ++tally.triesTimedOut; break;
-        case Outcome::connectFailed: ++tally.triesUnconnected; break;
-        case Outcome::reset: ++tally.triesReset; break;
-        case Outcome::cancelled: ++tally.triesCalledOff; break;
-        case Outcome::notSent: ++tally.triesNotSent; break;
+        case Outcome::answered: ++metrics.triesAnswered; break;
+        case Outcome::errored: ++metrics.triesErrored; break;
+        case Outcome::overloaded: ++metrics.triesFull; break;
+        case Outcome::timedOut: ++metrics.triesTimedOut; break;
+        case Outcome::connectFailed: ++metrics.triesUnconnected; break;
+        case Outcome::reset: ++metrics.triesReset; break;
+        case Outcome::cancelled: ++metrics.triesCalledOff; break;
+        case Outcome::notSent: ++metrics.triesNotSent; break;
     }
     const Duration took = around_.clock.now() - out.sentAt;
     const std::vector<double> load = reply != nullptr ? reply->load : std::vector<double>{};
@@ -304,8 +305,8 @@
     }
     TryEnded event{out.call, out.number, out.worker, outcome, took, false, {}, {}, load};
     if (outcome == Outcome::answered) {
-        event.rateUsedFraction = reply->meteredShare;
-        event.actualUnits = reply->trueUnits;
+        event.rateUsedFraction = reply->rateUsedFraction;
+        event.actualUnits = reply->actualUnits;
         answered_(out.call, reply->value);
         event.isCallClosed = true;
     } else {
@@ -343,7 +344,7 @@
 
 /// Where replies come too large and too many at once for our memory, the longest makes room for the others.
 void Workers::flush() {
-    while (begun_ > around_.bounds.pool) {
+    while (begun_ > around_.limits.maxBufferedBytesPerKind) {
         Link *longest = nullptr;
         for (auto &[id, pool] : pools_)
             for (auto &link : pool.links)
@@ -356,7 +357,8 @@
 void Workers::sweep() {
     const Timestamp now = around_.clock.now();
     const Duration most = idleMost_;
-    idleMost_ = std::min(around_.start.site.workerIdleTimeout / idlePart, idleMost_ + idleMost_ / idleGrows);
+    idleMost_ =
+        std::min(around_.start.settings.workerIdleTimeout / idlePart, idleMost_ + idleMost_ / idleGrows);
     around_.alarms.set(now + sweepEvery, [this] { sweep(); });
     for (auto &[id, pool] : pools_) {
         if (most <= Duration{}) break;
--- a/src/net/workers.hpp
+++ b/src/net/workers.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/api_call.hpp"
-#include "core/targets.hpp"
+#include "core/discovery_update.hpp"
 #include "core/worker_reply.hpp"
 #include "stream.hpp"
 #include "surroundings.hpp"
@@ -25,7 +25,7 @@
     Workers(Surroundings &around, Answered answered, IsOver isOver);
     ~Workers();
 
-    void list(const TargetNews &news);
+    void list(const DiscoveryUpdate &news);
     void send(const SendTry &action, TryNumber number, const ApiCall &call);
     void callOff(CallId call, TryNumber number);
     void probe(WorkerId worker);
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -89,7 +89,7 @@
 
 std::string word(std::string_view text) {
     std::string out;
-    resp::addBulk(out, text);
+    resp::appendBulk(out, text);
     return out;
 }
 
@@ -111,7 +111,7 @@
         Socket free = Socket::listening();
         port = free.port();
         free.close();
-        start = readStart(
+        start = parseStartDocument(
             R"({"limits":{"memory_mb":32,"sockets":)" + std::to_string(sockets) + R"(},"listen":)" +
             at(port) + R"(,"discovery":)" + at(discovery.port()) + R"(,"counter":)" + at(counter.port()) +
             R"(,"known":{"index":1,"endpoints":[{"name":"w","address":)" + at(worker.port()) +
@@ -455,8 +455,8 @@
     CHECK(!world.watch.ready(milliseconds(0)));
     const Socket discovery = Socket::listening(), counter = Socket::listening();
     world.renewed = world.start;
-    world.renewed->discovery.port = discovery.port();
-    world.renewed->counter->port = counter.port();
+    world.renewed->discoveryAddress.port = discovery.port();
+    world.renewed->counterAddress->port = counter.port();
     ::kill(::getpid(), SIGHUP);
     const Socket watch = discovery.accept();
     CHECK(watch.read("\r\n\r\n").starts_with("GET /api/targets HTTP"));
