--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -8,7 +8,7 @@
 #include "core/start_document.hpp"
 #include "core/targets.hpp"
 #include "core/worker_reply.hpp"
-#include "helpers.hpp"
+#include "engine_test_helpers.hpp"
 
 using namespace arrowstile;
 using namespace arrowstile::test;
--- a/tests/test_choice.cpp
+++ b/tests/test_decision_engine.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <new>
 
-#include "helpers.hpp"
+#include "engine_test_helpers.hpp"
 
 using namespace arrowstile;
 using namespace arrowstile::test;
