--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -133,7 +133,7 @@
     Settings site;
     site.routeNames = {"status", "order"};
     site.planNames = {"basic", "team"};
-    site.engine = smallSite();
+    site.engine = testEngineSettings();
     site.engine.gatewayCount = 3;
     site.engine.maxUnits = 6;
     const std::string customer = "00000000b4d65521",
--- a/tests/test_decision_engine.cpp
+++ b/tests/test_decision_engine.cpp
@@ -12,73 +12,75 @@
 using namespace arrowstile::test;
 
 namespace {
-long living = 0;  // allocations that are not given back
+long liveAllocations = 0;  // allocations that are not given back
 }
 
 void *operator new(std::size_t size) {
-    ++living;
+    ++liveAllocations;
     if (void *made = std::malloc(size)) return made;
     throw std::bad_alloc();
 }
 void *operator new(std::size_t size, const std::nothrow_t &) noexcept {
-    ++living;
+    ++liveAllocations;
     return std::malloc(size);
 }
 void operator delete(void *gone) noexcept {
-    living -= gone != nullptr;
+    liveAllocations -= gone != nullptr;
     std::free(gone);
 }
 void operator delete(void *gone, std::size_t) noexcept { operator delete(gone); }
 
 TEST_CASE("on a long day nothing grows with the customers, calls and workers that were there once") {
-    Desk desk;
-    desk.workers(4);
+    EngineHarness harness;
+    harness.setWorkerCount(4);
     long early = 0;
     for (std::uint64_t id = 1; id <= 12000; ++id) {
-        CallReceived taken;
-        taken.call = {id};
-        taken.plan.value = static_cast<std::uint16_t>(id % 4);
-        taken.customer = {1000 + id};
-        taken.timeRemaining = milliseconds(4000);
-        const auto sent = desk.tell(taken).all<SendTry>();
-        desk.answerCounts(Outcome::answered, 1);
+        CallReceived received;
+        received.call = {id};
+        received.plan.value = static_cast<std::uint16_t>(id % 4);
+        received.customer = {1000 + id};
+        received.timeRemaining = milliseconds(4000);
+        const auto sent = harness.handle(received).actionsOf<SendTry>();
+        harness.endCounterRequests(Outcome::answered, 1);
         for (const SendTry &to : sent) {
-            desk.ended(id, 0, to.worker, Outcome::answered, true).answerCounts(Outcome::answered, 0);
+            harness.endTry(id, 0, to.worker, Outcome::answered, true)
+                .endCounterRequests(Outcome::answered, 0);
         }
         const unsigned place = static_cast<unsigned>(id);
-        const WorkerEntry come = Desk::worker(100 + place),
-                          gone = Desk::worker(99 + place, WorkerState::gone);
-        if (id % 10 == 0) desk.list({come, gone}, WorkerListKind::delta);
-        if (id % 10 == 1) desk.list({gone}, WorkerListKind::delta);
-        desk.now += milliseconds(7);
-        if (id % 2 == 0) desk.tell(TimerFired{TimerToken{1}}).answerCounts(Outcome::answered, 0);
-        desk.actions = {};
-        if (id == 10000) early = living;  // 70 s: more than any of them is kept
+        const WorkerEntry come = EngineHarness::workerEntry(100 + place),
+                          gone = EngineHarness::workerEntry(99 + place, WorkerState::gone);
+        if (id % 10 == 0) harness.updateWorkers({come, gone}, WorkerListKind::delta);
+        if (id % 10 == 1) harness.updateWorkers({gone}, WorkerListKind::delta);
+        harness.now += milliseconds(7);
+        if (id % 2 == 0) harness.handle(TimerFired{TimerToken{1}}).endCounterRequests(Outcome::answered, 0);
+        harness.actions = {};
+        if (id == 10000) early = liveAllocations;  // 70 s: more than any of them is kept
     }
-    CHECK(living < early + early / 10);
+    CHECK(liveAllocations < early + early / 10);
     CHECK(early < 150000);
 }
 
 TEST_CASE("while the counter takes less than is passed, the counts that wait don't pile up") {
-    Desk desk;
-    desk.workers(40);
+    EngineHarness harness;
+    harness.setWorkerCount(40);
     long early = 0;
     for (std::uint64_t id = 1; id <= 9000; ++id) {
-        CallReceived taken;
-        taken.call = {id};
-        taken.plan.value = static_cast<std::uint16_t>(1 + id % 2);
-        taken.customer = {1000 + id};
-        taken.timeRemaining = milliseconds(4000);
-        const auto sent = desk.tell(taken).all<SendTry>();
-        desk.answerCounts(Outcome::overloaded, 0);
+        CallReceived received;
+        received.call = {id};
+        received.plan.value = static_cast<std::uint16_t>(1 + id % 2);
+        received.customer = {1000 + id};
+        received.timeRemaining = milliseconds(4000);
+        const auto sent = harness.handle(received).actionsOf<SendTry>();
+        harness.endCounterRequests(Outcome::overloaded, 0);
         for (const SendTry &to : sent)
-            desk.ended(id, 0, to.worker, Outcome::answered, true).answerCounts(Outcome::overloaded, 0);
-        desk.now += milliseconds(10);
-        desk.tell(TimerFired{TimerToken{1}}).answerCounts(Outcome::overloaded, 0);
-        desk.actions = {};
-        if (id == 6000) early = living;  // 60 s: more than a window or an epoch, twice
+            harness.endTry(id, 0, to.worker, Outcome::answered, true)
+                .endCounterRequests(Outcome::overloaded, 0);
+        harness.now += milliseconds(10);
+        harness.handle(TimerFired{TimerToken{1}}).endCounterRequests(Outcome::overloaded, 0);
+        harness.actions = {};
+        if (id == 6000) early = liveAllocations;  // 60 s: more than a window or an epoch, twice
     }
-    CHECK(living < early + early / 10);
+    CHECK(liveAllocations < early + early / 10);
 }
 
 TEST_CASE("in a large set a customer not heard of waits for the counter's totals once") {
@@ -100,27 +102,27 @@
     };
     for (const Row &row : rows) {
         CAPTURE(std::string(row.name));
-        EngineSettings facts = smallSite();
-        facts.gatewayCount = row.gateways;
-        Desk desk(facts);
-        desk.workers(12);
-        CallReceived taken;
-        taken.call = {1};
-        taken.customer = {9};
-        taken.plan.value = static_cast<std::uint16_t>(row.plan);
-        taken.gatewaySubsetSize = row.gateways;
-        taken.timeRemaining = milliseconds(4000);
-        desk.tell(taken);
-        CHECK(desk.all<SendTry>().size() + desk.finals() == (row.held ? 0 : 1));
+        EngineSettings settings = testEngineSettings();
+        settings.gatewayCount = row.gateways;
+        EngineHarness harness(settings);
+        harness.setWorkerCount(12);
+        CallReceived received;
+        received.call = {1};
+        received.customer = {9};
+        received.plan.value = static_cast<std::uint16_t>(row.plan);
+        received.gatewaySubsetSize = row.gateways;
+        received.timeRemaining = milliseconds(4000);
+        harness.handle(received);
+        CHECK(harness.actionsOf<SendTry>().size() + harness.finalAnswerCount() == (row.held ? 0 : 1));
         if (!row.held) continue;
-        const auto asked = desk.all<AddToCount>();
+        const auto asked = harness.actionsOf<AddToCount>();
         REQUIRE(asked.size() >= 1);
         std::size_t sent = 0, refused = 0;
         for (const AddToCount &add : asked) {
             const double total = add.amount > 0 ? row.current : row.previous;
-            desk.tell(AddToCountEnded{add.name, row.outcome, total, milliseconds(2)});
-            sent += desk.all<SendTry>().size();
-            refused += desk.all<AnswerRateLimited>().size();
+            harness.handle(AddToCountEnded{add.name, row.outcome, total, milliseconds(2)});
+            sent += harness.actionsOf<SendTry>().size();
+            refused += harness.actionsOf<AnswerRateLimited>().size();
         }
         CHECK(sent == (row.passes ? 1 : 0));
         CHECK(refused == (row.passes ? 0 : 1));
@@ -128,28 +130,28 @@
 }
 
 TEST_CASE("each of many gateways sees within two seconds that the counter is back") {
-    EngineSettings facts = smallSite();
-    facts.gatewayCount = 300;
-    Desk desk(facts);
-    desk.workers(12);
+    EngineSettings settings = testEngineSettings();
+    settings.gatewayCount = 300;
+    EngineHarness harness(settings);
+    harness.setWorkerCount(12);
     std::uint64_t id = 0;
     std::size_t calls = 0;
     const auto second = [&](Outcome outcome) {
         calls = 0;
         for (int i = 0; i < 20; ++i) {
-            CallReceived taken;
-            taken.call = {++id};
-            taken.customer = {id};
-            taken.plan.value = 1;
-            taken.gatewaySubsetSize = 2;
-            taken.timeRemaining = milliseconds(4000);
-            const auto sent = desk.tell(taken).all<SendTry>();
-            calls += desk.all<AddToCount>().size();
-            desk.answerCounts(outcome, 1);
-            for (const SendTry &to : sent) desk.ended(id, 0, to.worker, Outcome::answered, true);
-            desk.pass(milliseconds(50));
-            calls += desk.all<AddToCount>().size();
-            desk.answerCounts(outcome, 1);
+            CallReceived received;
+            received.call = {++id};
+            received.customer = {id};
+            received.plan.value = 1;
+            received.gatewaySubsetSize = 2;
+            received.timeRemaining = milliseconds(4000);
+            const auto sent = harness.handle(received).actionsOf<SendTry>();
+            calls += harness.actionsOf<AddToCount>().size();
+            harness.endCounterRequests(outcome, 1);
+            for (const SendTry &to : sent) harness.endTry(id, 0, to.worker, Outcome::answered, true);
+            harness.advance(milliseconds(50));
+            calls += harness.actionsOf<AddToCount>().size();
+            harness.endCounterRequests(outcome, 1);
         }
     };
     for (int i = 0; i < 6; ++i) second(Outcome::timedOut);
@@ -159,19 +161,19 @@
 }
 
 TEST_CASE("a call that waits for totals is decided though the counter never answers") {
-    EngineSettings facts = smallSite();
-    facts.gatewayCount = 200;
-    Desk desk(facts);
-    desk.workers(12);
-    CallReceived taken;
-    taken.call = {1};
-    taken.customer = {9};
-    taken.plan.value = 1;
-    taken.gatewaySubsetSize = 200;
-    taken.timeRemaining = milliseconds(4000);
-    CHECK(desk.tell(taken).all<SendTry>().empty());
-    desk.pass(2 * facts.counterTimeout + milliseconds(20));
-    CHECK(desk.all<SendTry>().size() + desk.finals() == 1);
+    EngineSettings settings = testEngineSettings();
+    settings.gatewayCount = 200;
+    EngineHarness harness(settings);
+    harness.setWorkerCount(12);
+    CallReceived received;
+    received.call = {1};
+    received.customer = {9};
+    received.plan.value = 1;
+    received.gatewaySubsetSize = 200;
+    received.timeRemaining = milliseconds(4000);
+    CHECK(harness.handle(received).actionsOf<SendTry>().empty());
+    harness.advance(2 * settings.counterTimeout + milliseconds(20));
+    CHECK(harness.actionsOf<SendTry>().size() + harness.finalAnswerCount() == 1);
 }
 
 TEST_CASE("a refused client is told to come back within the latency target of its route") {
@@ -187,13 +189,14 @@
                         {"a long target", 1, milliseconds(60000), milliseconds(1000)}};
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        EngineSettings facts = smallSite();
-        for (Route &route : facts.routes) route.latencyTarget = row.target;
-        Desk desk(facts);
-        desk.workers(row.plan == 0 ? 0 : 12);
+        EngineSettings settings = testEngineSettings();
+        for (Route &route : settings.routes) route.latencyTarget = row.target;
+        EngineHarness harness(settings);
+        harness.setWorkerCount(row.plan == 0 ? 0 : 12);
         std::size_t refused = 0;
         for (std::uint64_t id = 1; id < 60; ++id) {
-            for (const AnswerRateLimited &limit : desk.call(id, 0, row.plan, 6).all<AnswerRateLimited>()) {
+            for (const AnswerRateLimited &limit :
+                 harness.receiveCall(id, 0, row.plan, 6).actionsOf<AnswerRateLimited>()) {
                 ++refused;
                 CHECK(limit.retryAfter <= row.most);
                 CHECK(limit.retryAfter >= row.most / 2 - milliseconds(1));
@@ -205,39 +208,40 @@
 
 TEST_CASE("what no worker has seen is given up in the first half of its time, at once") {
     for (const bool early : {true, false}) {
-        Desk desk;
-        desk.workers(3).call(1, 0, 0, 1, milliseconds(600));
-        const WorkerId worker = desk.all<SendTry>().at(0).worker;
-        desk.now += milliseconds(early ? 250 : 310);
-        desk.ended(1, 0, worker, Outcome::connectFailed);
-        CHECK(desk.all<SendTry>().size() == (early ? 1 : 0));
-        CHECK(desk.finals() == (early ? 0 : 1));
+        EngineHarness harness;
+        harness.setWorkerCount(3).receiveCall(1, 0, 0, 1, milliseconds(600));
+        const WorkerId worker = harness.actionsOf<SendTry>().at(0).worker;
+        harness.now += milliseconds(early ? 250 : 310);
+        harness.endTry(1, 0, worker, Outcome::connectFailed);
+        CHECK(harness.actionsOf<SendTry>().size() == (early ? 1 : 0));
+        CHECK(harness.finalAnswerCount() == (early ? 0 : 1));
     }
 }
 
 TEST_CASE("short of calls to the counter, the customer nearest to its quota is reported first") {
-    EngineSettings facts = smallSite();
-    facts.plans[0] = {.rate = 5, .burst = 2000};
-    Desk desk(facts);
-    desk.workers(12);
+    EngineSettings settings = testEngineSettings();
+    settings.plans[0] = {.rate = 5, .burst = 2000};
+    EngineHarness harness(settings);
+    harness.setWorkerCount(12);
     std::uint64_t id = 0;
     const auto call = [&](std::uint64_t customer, unsigned plan) {
-        CallReceived taken;
-        taken.call = {++id};
-        taken.customer = {customer};
-        taken.plan.value = static_cast<std::uint16_t>(plan);
-        taken.timeRemaining = milliseconds(4000);
-        const auto adds = desk.tell(taken).all<AddToCount>().size();
-        const auto sent = desk.all<SendTry>();
+        CallReceived received;
+        received.call = {++id};
+        received.customer = {customer};
+        received.plan.value = static_cast<std::uint16_t>(plan);
+        received.timeRemaining = milliseconds(4000);
+        const auto adds = harness.handle(received).actionsOf<AddToCount>().size();
+        const auto sent = harness.actionsOf<SendTry>();
         REQUIRE(sent.size() == 1);
-        desk.ended(id, 0, sent[0].worker, Outcome::answered, true);
+        harness.endTry(id, 0, sent[0].worker, Outcome::answered, true);
         return adds;
     };
     for (std::uint64_t customer = 100; call(customer, 0) > 0; ++customer) REQUIRE(customer < 200);
     for (int more = 0; more < 10; ++more) call(300 + static_cast<std::uint64_t>(more), 0);
     for (int more = 0; more < 12; ++more) CHECK(call(7, 1) == 0);
-    desk.pass(milliseconds(10));  // gives a call or two: the one whose store is half spent has the first
-    const auto adds = desk.all<AddToCount>();
+    harness.advance(
+        milliseconds(10));  // gives a call or two: the one whose store is half spent has the first
+    const auto adds = harness.actionsOf<AddToCount>();
     REQUIRE(adds.size() > 0);
     CHECK(adds[0].amount == 12);
     CHECK(call(400, 0) == 0);  // with others in line nobody passes them
@@ -261,17 +265,19 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        Desk desk;
-        desk.workers(3).call(1, row.route);
-        REQUIRE(desk.all<SendTry>().size() == 1);
-        const WorkerId first = desk.all<SendTry>()[0].worker;
-        desk.now += milliseconds(20);
-        desk.ended(1, 0, first, row.outcome);
-        CHECK(desk.all<SendTry>().size() == (row.again ? 1 : 0));
-        CHECK(desk.all<AnswerRateLimited>().size() == (row.rateLimited ? 1 : 0));
-        CHECK(desk.all<AnswerErrored>().size() == (row.errored ? 1 : 0));
-        if (row.again) CHECK(desk.all<SendTry>()[0].worker != first);
-        CHECK(desk.ended(1, 0, first, row.outcome).finals() + desk.all<SendTry>().size() <= 1);  // a repeat
+        EngineHarness harness;
+        harness.setWorkerCount(3).receiveCall(1, row.route);
+        REQUIRE(harness.actionsOf<SendTry>().size() == 1);
+        const WorkerId first = harness.actionsOf<SendTry>()[0].worker;
+        harness.now += milliseconds(20);
+        harness.endTry(1, 0, first, row.outcome);
+        CHECK(harness.actionsOf<SendTry>().size() == (row.again ? 1 : 0));
+        CHECK(harness.actionsOf<AnswerRateLimited>().size() == (row.rateLimited ? 1 : 0));
+        CHECK(harness.actionsOf<AnswerErrored>().size() == (row.errored ? 1 : 0));
+        if (row.again) CHECK(harness.actionsOf<SendTry>()[0].worker != first);
+        CHECK(harness.endTry(1, 0, first, row.outcome).finalAnswerCount() +
+                  harness.actionsOf<SendTry>().size() <=
+              1);  // a repeat
     }
 }
 
@@ -290,23 +296,23 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        Desk desk;
-        desk.workers(row.workers).call(1, row.route, 0, 1, row.left);
-        std::size_t finals = desk.finals();
-        if (const auto sent = desk.all<SendTry>(); !sent.empty()) {
-            CHECK(sent[0].deadline <= desk.now + row.left);
-            desk.now += row.ended;
-            desk.ended(1, 0, sent[0].worker, Outcome::timedOut);
-            finals += desk.finals();
+        EngineHarness harness;
+        harness.setWorkerCount(row.workers).receiveCall(1, row.route, 0, 1, row.left);
+        std::size_t finals = harness.finalAnswerCount();
+        if (const auto sent = harness.actionsOf<SendTry>(); !sent.empty()) {
+            CHECK(sent[0].deadline <= harness.now + row.left);
+            harness.now += row.ended;
+            harness.endTry(1, 0, sent[0].worker, Outcome::timedOut);
+            finals += harness.finalAnswerCount();
         }
-        finals += desk.pass(milliseconds(5000)).finals();
+        finals += harness.advance(milliseconds(5000)).finalAnswerCount();
         CHECK(finals == 1);
     }
 }
 
 TEST_CASE("events for what is not held are passed over") {
-    Desk desk;
-    desk.workers(1);
+    EngineHarness harness;
+    harness.setWorkerCount(1);
     const Event strays[] = {CallAbandoned{{5}},
                             TryEnded{{5}, {0}, {77}, Outcome::answered},
                             AddToCountEnded{{3}},
@@ -317,12 +323,13 @@
                             WorkerListUpdated{WorkerListKind::failed, 2, {}}};
     for (const Event &stray : strays) {
         CAPTURE(stray.index());
-        CHECK(desk.tell(stray).actions.empty());
+        CHECK(harness.handle(stray).actions.empty());
     }
-    CHECK(desk.call(1, 200).finals() == 1);                  // a route that is in no table
-    CHECK(desk.call(2, 0, 200).all<SendTry>().size() == 1);  // a plan that is in none has no limits
-    CHECK(desk.tell(CallAbandoned{{2}}).all<CancelTry>().size() == 1);
-    CHECK(desk.ended(2, 0, {1}, Outcome::cancelled).finals() == 0);
+    CHECK(harness.receiveCall(1, 200).finalAnswerCount() == 1);  // a route that is in no table
+    CHECK(harness.receiveCall(2, 0, 200).actionsOf<SendTry>().size() ==
+          1);  // a plan that is in none has no limits
+    CHECK(harness.handle(CallAbandoned{{2}}).actionsOf<CancelTry>().size() == 1);
+    CHECK(harness.endTry(2, 0, {1}, Outcome::cancelled).finalAnswerCount() == 0);
 }
 
 TEST_CASE("a worker that drains, is gone or falls out of the list gets nothing new") {
@@ -332,16 +339,17 @@
         WorkerListKind how;
     };
     const Row rows[] = {
-        {"draining", {Desk::worker(1, WorkerState::draining)}, WorkerListKind::delta},
-        {"gone", {Desk::worker(1, WorkerState::gone)}, WorkerListKind::delta},
-        {"not in the whole list", {Desk::worker(2)}, WorkerListKind::snapshot},
+        {"draining", {EngineHarness::workerEntry(1, WorkerState::draining)}, WorkerListKind::delta},
+        {"gone", {EngineHarness::workerEntry(1, WorkerState::gone)}, WorkerListKind::delta},
+        {"not in the whole list", {EngineHarness::workerEntry(2)}, WorkerListKind::snapshot},
     };
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        Desk desk;
-        desk.workers(2).list(row.news, row.how);
+        EngineHarness harness;
+        harness.setWorkerCount(2).updateWorkers(row.news, row.how);
         for (unsigned i = 1; i <= 6; ++i) {
-            for (const SendTry &sent : desk.call(i).all<SendTry>()) CHECK(sent.worker == WorkerId{2});
+            for (const SendTry &sent : harness.receiveCall(i).actionsOf<SendTry>())
+                CHECK(sent.worker == WorkerId{2});
         }
     }
 }
@@ -364,46 +372,47 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        Desk desk;
-        desk.workers(12).call(1, 0, 1, 4);
-        REQUIRE(desk.all<AddToCount>().size() == 1);
-        const AddToCount add = desk.all<AddToCount>()[0];
+        EngineHarness harness;
+        harness.setWorkerCount(12).receiveCall(1, 0, 1, 4);
+        REQUIRE(harness.actionsOf<AddToCount>().size() == 1);
+        const AddToCount add = harness.actionsOf<AddToCount>()[0];
         CHECK(add.amount == 4);
         if (row.outcome != Outcome::notSent) {
-            desk.tell(AddToCountEnded{add.name, row.outcome, row.othersBefore + 4, milliseconds(2)});
+            harness.handle(AddToCountEnded{add.name, row.outcome, row.othersBefore + 4, milliseconds(2)});
         }
         unsigned passes = 0;
-        for (unsigned i = 2; i < 14; ++i) passes += desk.call(i, 0, 1, 2).all<SendTry>().size();
+        for (unsigned i = 2; i < 14; ++i)
+            passes += harness.receiveCall(i, 0, 1, 2).actionsOf<SendTry>().size();
         CHECK(passes == row.passes);
-        CHECK(desk.all<AnswerRateLimited>().size() == 1);
-        CHECK(desk.all<AnswerRateLimited>()[0].retryAfter.has_value());
-        CHECK(*desk.all<AnswerRateLimited>()[0].retryAfter <= milliseconds(1000));
+        CHECK(harness.actionsOf<AnswerRateLimited>().size() == 1);
+        CHECK(harness.actionsOf<AnswerRateLimited>()[0].retryAfter.has_value());
+        CHECK(*harness.actionsOf<AnswerRateLimited>()[0].retryAfter <= milliseconds(1000));
     }
 }
 
 TEST_CASE("counts lost by the counter go on counting here") {
-    Desk desk;
-    desk.workers(12).call(1, 0, 1, 16);
-    const CountName name = desk.all<AddToCount>()[0].name;
-    desk.tell(AddToCountEnded{name, Outcome::answered, 16, milliseconds(2)}).call(2, 0, 1, 2);
-    desk.tell(AddToCountEnded{name, Outcome::answered, 2, milliseconds(2)});  // back empty
-    CHECK(desk.call(3, 0, 1, 4).all<AnswerRateLimited>().size() == 1);
+    EngineHarness harness;
+    harness.setWorkerCount(12).receiveCall(1, 0, 1, 16);
+    const CountName name = harness.actionsOf<AddToCount>()[0].name;
+    harness.handle(AddToCountEnded{name, Outcome::answered, 16, milliseconds(2)}).receiveCall(2, 0, 1, 2);
+    harness.handle(AddToCountEnded{name, Outcome::answered, 2, milliseconds(2)});  // back empty
+    CHECK(harness.receiveCall(3, 0, 1, 4).actionsOf<AnswerRateLimited>().size() == 1);
 }
 
 TEST_CASE("a silent or refusing counter is called ever less, and no pass goes unreported") {
     for (const Outcome outcome : {Outcome::timedOut, Outcome::connectFailed, Outcome::overloaded}) {
         CAPTURE(static_cast<int>(outcome));
-        Desk desk;
-        desk.workers(12).call(1, 0, 1, 1);
+        EngineHarness harness;
+        harness.setWorkerCount(12).receiveCall(1, 0, 1, 1);
         std::size_t late = 0;
         double added = 0;
         for (unsigned i = 0; i < 300; ++i) {
-            for (const AddToCount &add : desk.all<AddToCount>()) {
+            for (const AddToCount &add : harness.actionsOf<AddToCount>()) {
                 late += i > 200;
                 added = add.amount;
-                desk.tell(AddToCountEnded{add.name, outcome, 0, milliseconds(5)});
+                harness.handle(AddToCountEnded{add.name, outcome, 0, milliseconds(5)});
             }
-            desk.pass(milliseconds(10));
+            harness.advance(milliseconds(10));
         }
         CHECK(late <= 20);
         if (outcome != Outcome::timedOut) CHECK(added == 1);
@@ -411,13 +420,16 @@
 }
 
 TEST_CASE("an open cap holds: from the cache, by the counted answer once full, by the share without one") {
-    Desk desk;
-    desk.workers(12);
+    EngineHarness harness;
+    harness.setWorkerCount(12);
     for (unsigned id : {1, 2})
-        CHECK(desk.call(id, 0, 2).answerCounts(Outcome::answered, id).all<SendTry>().size() == 1);
-    CHECK(desk.call(3, 0, 2).all<AnswerRateLimited>().size() == 1);  // two are out
+        CHECK(harness.receiveCall(id, 0, 2)
+                  .endCounterRequests(Outcome::answered, id)
+                  .actionsOf<SendTry>()
+                  .size() == 1);
+    CHECK(harness.receiveCall(3, 0, 2).actionsOf<AnswerRateLimited>().size() == 1);  // two are out
     for (unsigned id : {1, 2})
-        desk.ended(id, 0, {id}, Outcome::answered, true).answerCounts(Outcome::answered, 2 - id);
+        harness.endTry(id, 0, {id}, Outcome::answered, true).endCounterRequests(Outcome::answered, 2 - id);
 
     struct Row {
         const char *name;
@@ -433,27 +445,29 @@
     unsigned id = 10;
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        desk.pass(milliseconds(200)).answerCounts(Outcome::answered, 0).call(++id, 0, 2);
-        CHECK(desk.finals() + desk.all<SendTry>().size() == 0);  // held for the answer
-        REQUIRE(desk.all<AddToCount>().size() == 1);
-        desk.tell(AddToCountEnded{desk.all<AddToCount>()[0].name, row.outcome, row.total, milliseconds(2)});
-        const auto sent = desk.all<SendTry>();
+        harness.advance(milliseconds(200)).endCounterRequests(Outcome::answered, 0).receiveCall(++id, 0, 2);
+        CHECK(harness.finalAnswerCount() + harness.actionsOf<SendTry>().size() == 0);  // held for the answer
+        REQUIRE(harness.actionsOf<AddToCount>().size() == 1);
+        harness.handle(AddToCountEnded{harness.actionsOf<AddToCount>()[0].name, row.outcome, row.total,
+                                       milliseconds(2)});
+        const auto sent = harness.actionsOf<SendTry>();
         CHECK(sent.size() == (row.passes ? 1 : 0));
-        CHECK(desk.finals() == (row.passes ? 0 : 1));
-        desk.answerCounts(Outcome::answered, row.passes ? 1 : 0);
+        CHECK(harness.finalAnswerCount() == (row.passes ? 0 : 1));
+        harness.endCounterRequests(Outcome::answered, row.passes ? 1 : 0);
         if (row.passes)
-            desk.ended(id, 0, sent[0].worker, Outcome::answered, true).answerCounts(Outcome::answered, 0);
+            harness.endTry(id, 0, sent[0].worker, Outcome::answered, true)
+                .endCounterRequests(Outcome::answered, 0);
     }
 }
 
 TEST_CASE("a held API call is decided though the counter never answers") {
-    Desk desk;
-    desk.workers(12).call(1, 0, 2).call(2, 0, 2).call(3, 0, 2);
-    desk.ended(1, 0, {1}, Outcome::answered, true);
-    desk.call(4, 0, 2);
-    const std::size_t at_once = desk.finals() + desk.all<SendTry>().size();
-    desk.pass(milliseconds(150));
-    CHECK(at_once + desk.finals() + desk.all<SendTry>().size() == 1);
+    EngineHarness harness;
+    harness.setWorkerCount(12).receiveCall(1, 0, 2).receiveCall(2, 0, 2).receiveCall(3, 0, 2);
+    harness.endTry(1, 0, {1}, Outcome::answered, true);
+    harness.receiveCall(4, 0, 2);
+    const std::size_t at_once = harness.finalAnswerCount() + harness.actionsOf<SendTry>().size();
+    harness.advance(milliseconds(150));
+    CHECK(at_once + harness.finalAnswerCount() + harness.actionsOf<SendTry>().size() == 1);
 }
 
 TEST_CASE("a ceiling is shared evenly and a restart does not refill the share") {
@@ -467,11 +481,11 @@
                         {"after long", milliseconds(60000), 10}};
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        Desk desk;
-        desk.workers(12);
-        desk.now += row.waited;
+        EngineHarness harness;
+        harness.setWorkerCount(12);
+        harness.now += row.waited;
         unsigned passes = 0;
-        for (unsigned i = 1; i < 30; ++i) passes += desk.call(i, 0, 3).all<SendTry>().size();
+        for (unsigned i = 1; i < 30; ++i) passes += harness.receiveCall(i, 0, 3).actionsOf<SendTry>().size();
         CHECK(passes == row.most);
     }
 }
@@ -480,11 +494,12 @@
     unsigned before = 0;
     for (const int age : {0, 5000, 9000}) {
         CAPTURE(age);
-        Desk desk;
-        desk.now = milliseconds(20000);
-        desk.list({Desk::worker(1, WorkerState::ready, desk.now - milliseconds(age) - Duration{1})});
+        EngineHarness harness;
+        harness.now = milliseconds(20000);
+        harness.updateWorkers({EngineHarness::workerEntry(1, WorkerState::ready,
+                                                          harness.now - milliseconds(age) - Duration{1})});
         unsigned passes = 0;
-        for (unsigned i = 1; i < 30; ++i) passes += desk.call(i).all<SendTry>().size();
+        for (unsigned i = 1; i < 30; ++i) passes += harness.receiveCall(i).actionsOf<SendTry>().size();
         CHECK(passes >= std::max(1u, before));
         CHECK(passes <= 4);
         before = passes;
@@ -494,39 +509,42 @@
 TEST_CASE("a worker whose silence is unusual goes last, but not when all are silent") {
     for (const bool others : {true, false}) {
         CAPTURE(others);
-        Desk desk;
-        desk.workers(4);
+        EngineHarness harness;
+        harness.setWorkerCount(4);
         std::uint64_t id = 1;
         for (int round = 0; round < 40; ++round) {
             std::map<std::uint64_t, WorkerId> busy;
-            for (int i = 0; i < 4; ++i, ++id) busy[id] = desk.call(id).all<SendTry>().at(0).worker;
-            desk.pass(milliseconds(20));
-            for (const auto &[call, worker] : busy) desk.ended(call, 0, worker, Outcome::answered, true);
+            for (int i = 0; i < 4; ++i, ++id)
+                busy[id] = harness.receiveCall(id).actionsOf<SendTry>().at(0).worker;
+            harness.advance(milliseconds(20));
+            for (const auto &[call, worker] : busy) harness.endTry(call, 0, worker, Outcome::answered, true);
         }
         std::map<WorkerId, std::uint64_t> out;
-        for (; out.size() < 4; ++id) out.emplace(desk.call(id).all<SendTry>().at(0).worker, id);
-        desk.pass(milliseconds(200));
+        for (; out.size() < 4; ++id)
+            out.emplace(harness.receiveCall(id).actionsOf<SendTry>().at(0).worker, id);
+        harness.advance(milliseconds(200));
         std::map<WorkerId, unsigned> more;
         for (const auto &[worker, call] : out) {
-            if (others && worker != WorkerId{1}) desk.ended(call, 0, worker, Outcome::answered, true);
+            if (others && worker != WorkerId{1}) harness.endTry(call, 0, worker, Outcome::answered, true);
         }
-        desk.pass(milliseconds(10));
-        for (int i = others ? 1 : 0; i < 4; ++i, ++id) ++more[desk.call(id).all<SendTry>().at(0).worker];
+        harness.advance(milliseconds(10));
+        for (int i = others ? 1 : 0; i < 4; ++i, ++id)
+            ++more[harness.receiveCall(id).actionsOf<SendTry>().at(0).worker];
         CHECK(more[WorkerId{1}] == (others ? 0 : 1));
     }
 }
 
 TEST_CASE("a worker that fails one route keeps the others") {
-    Desk desk;
-    desk.workers(4);
+    EngineHarness harness;
+    harness.setWorkerCount(4);
     std::map<unsigned, unsigned> late;  // non-idempotent and idempotent calls to the first worker, at the end
     for (std::uint64_t id = 1; id < 600; ++id) {
         const unsigned route = id % 2 == 0 ? 2 : 0;
-        for (const SendTry &to : desk.call(id, route).all<SendTry>()) {
+        for (const SendTry &to : harness.receiveCall(id, route).actionsOf<SendTry>()) {
             const bool bad = route == 2 && to.worker == WorkerId{1};
             if (id > 400 && to.worker == WorkerId{1}) ++late[route];
-            desk.pass(milliseconds(10))
-                .ended(id, 0, to.worker, bad ? Outcome::errored : Outcome::answered, !bad);
+            harness.advance(milliseconds(10))
+                .endTry(id, 0, to.worker, bad ? Outcome::errored : Outcome::answered, !bad);
         }
     }
     CHECK(late[2] == 0);
@@ -547,15 +565,16 @@
         CAPTURE(row.name);
         std::map<WorkerId, std::size_t> sent;
         for (unsigned rank = 0; rank < 100; ++rank) {
-            EngineSettings facts = smallSite();
-            facts.gatewayCount = 100;
-            facts.gatewayIndex = {rank};
-            Desk desk(facts);
+            EngineSettings settings = testEngineSettings();
+            settings.gatewayCount = 100;
+            settings.gatewayIndex = {rank};
+            EngineHarness harness(settings);
             std::vector<WorkerEntry> entries;
             for (unsigned i = 1; i <= row.workers; ++i) {
-                entries.push_back(Desk::worker(i, WorkerState::ready, row.startedAt));
+                entries.push_back(EngineHarness::workerEntry(i, WorkerState::ready, row.startedAt));
             }
-            for (const SendTry &to : desk.list(entries).call(1).all<SendTry>()) ++sent[to.worker];
+            for (const SendTry &to : harness.updateWorkers(entries).receiveCall(1).actionsOf<SendTry>())
+                ++sent[to.worker];
         }
         std::size_t busiest = 0;
         for (const auto &[worker, count] : sent) busiest = std::max(busiest, count);
@@ -577,27 +596,27 @@
                         {"a worker that says nothing at all", 0, false, {}, {}}};
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        Desk desk;
-        desk.workers(1);
+        EngineHarness harness;
+        harness.setWorkerCount(1);
         const auto answered = [&](std::uint64_t id) {
-            const auto sent = desk.call(id, row.route).all<SendTry>();
+            const auto sent = harness.receiveCall(id, row.route).actionsOf<SendTry>();
             REQUIRE(sent.size() == 1);
-            desk.pass(milliseconds(10)).ended(id, 0, sent[0].worker, Outcome::answered, true);
+            harness.advance(milliseconds(10)).endTry(id, 0, sent[0].worker, Outcome::answered, true);
         };
         for (std::uint64_t id = 10; id < 20; ++id) answered(id);
-        REQUIRE(desk.call(1, row.route).all<SendTry>().size() == 1);
-        const Timestamp begun = desk.now;
+        REQUIRE(harness.receiveCall(1, row.route).actionsOf<SendTry>().size() == 1);
+        const Timestamp begun = harness.now;
         for (std::uint64_t id = 20; row.overtaken && id < 25; ++id) answered(id);
         std::optional<Duration> took;
-        while (desk.now - begun < milliseconds(1500) && !took)
-            if (!desk.pass(milliseconds(10)).all<CancelTry>().empty()) took = desk.now - begun;
+        while (harness.now - begun < milliseconds(1500) && !took)
+            if (!harness.advance(milliseconds(10)).actionsOf<CancelTry>().empty()) took = harness.now - begun;
         CHECK(took.has_value() == row.overtaken);
         if (!took) continue;
         CHECK((*took >= row.least && *took <= row.most));
-        CHECK(desk.pass(milliseconds(50)).all<CancelTry>().empty());  // once
-        desk.ended(1, 0, WorkerId{1}, Outcome::cancelled);
-        CHECK(desk.all<SendTry>().size() == (row.route == 0 ? 1 : 0));
-        CHECK(desk.all<AnswerErrored>().size() == (row.route == 0 ? 0 : 1));
+        CHECK(harness.advance(milliseconds(50)).actionsOf<CancelTry>().empty());  // once
+        harness.endTry(1, 0, WorkerId{1}, Outcome::cancelled);
+        CHECK(harness.actionsOf<SendTry>().size() == (row.route == 0 ? 1 : 0));
+        CHECK(harness.actionsOf<AnswerErrored>().size() == (row.route == 0 ? 0 : 1));
     }
 }
 
@@ -614,39 +633,40 @@
         {"a refusal", {Outcome::connectFailed}, milliseconds(250)}};
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        Desk desk;
-        desk.workers(1);
+        EngineHarness harness;
+        harness.setWorkerCount(1);
         std::uint64_t id = 0;
         for (const Outcome outcome : row.outcomes) {
-            REQUIRE(desk.call(++id, 2).all<SendTry>().size() == 1);
-            desk.ended(id, 0, WorkerId{1}, outcome, outcome == Outcome::answered);
+            REQUIRE(harness.receiveCall(++id, 2).actionsOf<SendTry>().size() == 1);
+            harness.endTry(id, 0, WorkerId{1}, outcome, outcome == Outcome::answered);
         }
         Duration waited{};
-        for (; desk.call(++id, 2).all<SendTry>().empty(); waited += milliseconds(10)) {
+        for (; harness.receiveCall(++id, 2).actionsOf<SendTry>().empty(); waited += milliseconds(10)) {
             REQUIRE(waited < milliseconds(2000));
-            desk.pass(milliseconds(10));
+            harness.advance(milliseconds(10));
         }
         CHECK((waited >= row.barred && waited <= row.barred + milliseconds(10)));
     }
 }
 
-TEST_CASE("a worker left out for what can't run again is tried with it later, and taken back") {
-    Desk desk;
-    desk.workers(2);
+TEST_CASE("a worker left out for what can't run again is tried with it later, and received back") {
+    EngineHarness harness;
+    harness.setWorkerCount(2);
     std::uint64_t id = 0;
     const auto sentToFirst = [&](int rounds, bool failing) {
         int sent = 0;
         for (; rounds > 0; --rounds) {
             std::vector<SendTry> tries;
             for (int left = 4; left > 0; --left)
-                for (const SendTry &to : desk.call(++id, 2).all<SendTry>()) tries.push_back(to);
-            desk.pass(milliseconds(10));
+                for (const SendTry &to : harness.receiveCall(++id, 2).actionsOf<SendTry>())
+                    tries.push_back(to);
+            harness.advance(milliseconds(10));
             for (const SendTry &to : tries) {
                 const bool bad = failing && to.worker.value == 1;
                 sent += to.worker.value == 1;
-                desk.ended(to.call.value, 0, to.worker, bad ? Outcome::errored : Outcome::answered, !bad);
+                harness.endTry(to.call.value, 0, to.worker, bad ? Outcome::errored : Outcome::answered, !bad);
             }
-            desk.pass(milliseconds(10));
+            harness.advance(milliseconds(10));
         }
         return sent;
     };
@@ -660,23 +680,23 @@
 TEST_CASE("a worker that fails loses what can't run again, unless most of them fail") {
     for (const unsigned failing : {1u, 4u}) {
         CAPTURE(failing);
-        Desk desk;
-        desk.workers(4);
+        EngineHarness harness;
+        harness.setWorkerCount(4);
         for (std::uint64_t id = 1; id < 200; ++id) {
-            const auto sent = desk.call(id, 2).all<SendTry>();
-            desk.pass(milliseconds(10));
+            const auto sent = harness.receiveCall(id, 2).actionsOf<SendTry>();
+            harness.advance(milliseconds(10));
             for (const SendTry &to : sent) {
                 const bool bad = to.worker.value <= failing;
-                desk.ended(id, 0, to.worker, bad ? Outcome::errored : Outcome::answered, !bad);
+                harness.endTry(id, 0, to.worker, bad ? Outcome::errored : Outcome::answered, !bad);
             }
-            desk.pass(milliseconds(10));
+            harness.advance(milliseconds(10));
         }
         unsigned toFirst = 0, all = 0;
         for (std::uint64_t id = 300; id < 320; ++id) {
-            for (const SendTry &to : desk.call(id, 2).all<SendTry>()) {
+            for (const SendTry &to : harness.receiveCall(id, 2).actionsOf<SendTry>()) {
                 toFirst += to.worker.value == 1;
                 ++all;
-                desk.pass(milliseconds(10)).ended(id, 0, to.worker, Outcome::answered, true);
+                harness.advance(milliseconds(10)).endTry(id, 0, to.worker, Outcome::answered, true);
             }
         }
         CHECK(all == 20);
@@ -685,38 +705,38 @@
 }
 
 TEST_CASE("without a counter a share of an open cap under one is kept by rests") {
-    EngineSettings facts = smallSite();
-    facts.gatewayCount = 2;
-    facts.plans[2].openCap = 1;
-    facts.mayUseCounter = false;
-    Desk desk(facts);
-    desk.workers(12).call(1, 0, 2);
-    const WorkerId worker = desk.all<SendTry>().at(0).worker;
-    CHECK(desk.call(2, 0, 2).finals() == 1);  // finds the cap full
-    desk.pass(milliseconds(20)).ended(1, 0, worker, Outcome::answered, true);
-    CHECK(desk.call(3, 0, 2).finals() == 1);  // rests
-    CHECK(desk.pass(milliseconds(1000)).call(4, 0, 2).all<SendTry>().size() == 1);
+    EngineSettings settings = testEngineSettings();
+    settings.gatewayCount = 2;
+    settings.plans[2].openCap = 1;
+    settings.mayUseCounter = false;
+    EngineHarness harness(settings);
+    harness.setWorkerCount(12).receiveCall(1, 0, 2);
+    const WorkerId worker = harness.actionsOf<SendTry>().at(0).worker;
+    CHECK(harness.receiveCall(2, 0, 2).finalAnswerCount() == 1);  // finds the cap full
+    harness.advance(milliseconds(20)).endTry(1, 0, worker, Outcome::answered, true);
+    CHECK(harness.receiveCall(3, 0, 2).finalAnswerCount() == 1);  // rests
+    CHECK(harness.advance(milliseconds(1000)).receiveCall(4, 0, 2).actionsOf<SendTry>().size() == 1);
 }
 
 TEST_CASE("what a dead gateway left open does not fill the cap in the next epoch") {
-    Desk desk;
-    desk.workers(12);
+    EngineHarness harness;
+    harness.setWorkerCount(12);
     std::optional<CountName> first;
     int since = 0;
     std::size_t passed = 0;
-    for (std::uint64_t id = 1; since < 20 && id < 400; ++id, desk.pass(milliseconds(100))) {
-        desk.call(id, 0, 2);
-        for (const AddToCount &add : desk.all<AddToCount>()) first = first.value_or(add.name);
-        const auto told = [&](const Desk &at) {
-            const auto adds = at.all<AddToCount>();
+    for (std::uint64_t id = 1; since < 20 && id < 400; ++id, harness.advance(milliseconds(100))) {
+        harness.receiveCall(id, 0, 2);
+        for (const AddToCount &add : harness.actionsOf<AddToCount>()) first = first.value_or(add.name);
+        const auto told = [&](const EngineHarness &at) {
+            const auto adds = at.actionsOf<AddToCount>();
             since += adds.empty() ? 0 : adds[0].name != *first;
             return since > 0 ? 0.0 : 2.0;  // two tries stay counted under the first name
         };
-        desk.answerCounts(Outcome::answered, told(desk) + 1);
-        for (const SendTry &sent : desk.all<SendTry>()) {
+        harness.endCounterRequests(Outcome::answered, told(harness) + 1);
+        for (const SendTry &sent : harness.actionsOf<SendTry>()) {
             passed += since > 0;
-            desk.ended(sent.call.value, 0, sent.worker, Outcome::answered, true);
-            desk.answerCounts(Outcome::answered, since > 0 ? 0 : 2);
+            harness.endTry(sent.call.value, 0, sent.worker, Outcome::answered, true);
+            harness.endCounterRequests(Outcome::answered, since > 0 ? 0 : 2);
         }
     }
     CHECK(since == 20);
@@ -725,35 +745,35 @@
 
 namespace {
 
-EngineSettings largeSite(unsigned gateways) {
-    EngineSettings facts = smallSite();
-    facts.gatewayCount = gateways;
-    return facts;
+EngineSettings settingsForGateways(unsigned gateways) {
+    EngineSettings settings = testEngineSettings();
+    settings.gatewayCount = gateways;
+    return settings;
 }
 
 /// Calls at even gaps, each answered by its worker after a while; those sent, by worker or by route.
-struct Stream {
-    Desk &desk;
+struct CallStream {
+    EngineHarness &harness;
     Duration gap, latency;
     std::uint64_t id = 0, chance = 11;
     std::map<Timestamp, std::pair<std::uint64_t, WorkerId>> out{};
     std::map<WorkerId, unsigned> to{};
     std::map<unsigned, unsigned> sent{};
 
-    Stream &run(int calls) {
+    CallStream &run(int calls) {
         for (; calls > 0; --calls) {
             chance = chance * 6364136223846793005ull + 1442695040888963407ull + ++id;
             const auto route = static_cast<unsigned>((chance >> 33) % 3);
-            for (const SendTry &one : desk.call(id, route).all<SendTry>()) {
-                out[desk.now + latency + Duration{static_cast<int>(id % 1000)}] = {id, one.worker};
+            for (const SendTry &one : harness.receiveCall(id, route).actionsOf<SendTry>()) {
+                out[harness.now + latency + Duration{static_cast<int>(id % 1000)}] = {id, one.worker};
                 ++to[one.worker];
                 ++sent[route];
             }
-            desk.pass(gap);
-            while (!out.empty() && out.begin()->first <= desk.now) {
+            harness.advance(gap);
+            while (!out.empty() && out.begin()->first <= harness.now) {
                 const auto [call, worker] = out.begin()->second;
                 out.erase(out.begin());
-                desk.ended(call, 0, worker, Outcome::answered, true, latency);
+                harness.endTry(call, 0, worker, Outcome::answered, true, latency);
             }
         }
         return *this;
@@ -766,12 +786,14 @@
     std::size_t first = 0;
     for (const int latency : {100, 900}) {
         CAPTURE(latency);
-        Desk desk;
-        desk.workers(1);
-        Stream{desk, milliseconds(1000), milliseconds(latency)}.run(192);
-        desk.list({Desk::worker(2, WorkerState::ready, desk.now - milliseconds(9000))});
+        EngineHarness harness;
+        harness.setWorkerCount(1);
+        CallStream{harness, milliseconds(1000), milliseconds(latency)}.run(192);
+        harness.updateWorkers(
+            {EngineHarness::workerEntry(2, WorkerState::ready, harness.now - milliseconds(9000))});
         std::size_t sent = 0;
-        for (std::uint64_t id = 1000; id < 1020; ++id) sent += desk.call(id, 0).all<SendTry>().size();
+        for (std::uint64_t id = 1000; id < 1020; ++id)
+            sent += harness.receiveCall(id, 0).actionsOf<SendTry>().size();
         CHECK(sent >= 2);
         if (first == 0) first = sent;
         CHECK(2 * sent >= first);
@@ -780,15 +802,16 @@
 
 TEST_CASE("as most of a fleet turns cold, each gateway's part of the others shrinks at once") {
     constexpr unsigned all = 64, warm = 4;
-    Desk desk(largeSite(all));
+    EngineHarness harness(settingsForGateways(all));
     const auto listed = [&](unsigned cold) {
         std::vector<WorkerEntry> entries;
         for (unsigned i = 1; i <= all; ++i)
-            entries.push_back(Desk::worker(i, WorkerState::ready, i <= cold ? desk.now : Timestamp{}));
-        desk.list(entries);
+            entries.push_back(
+                EngineHarness::workerEntry(i, WorkerState::ready, i <= cold ? harness.now : Timestamp{}));
+        harness.updateWorkers(entries);
     };
     listed(0);
-    Stream stream{desk, milliseconds(50), milliseconds(70)};
+    CallStream stream{harness, milliseconds(50), milliseconds(70)};
     stream.run(1000).to.clear();
     unsigned sent = 0;
     for (const auto &[worker, count] : stream.run(200).to) sent += count;
@@ -809,13 +832,13 @@
         const auto pick = [&](std::uint64_t below) {
             return ((drawn = drawn * 6364136223846793005ull + 1) >> 33) % below;
         };
-        EngineSettings facts = largeSite(fleet == 0 ? 2 : 1 + static_cast<unsigned>(pick(12)));
-        for (Route &route : facts.routes)
+        EngineSettings settings = settingsForGateways(fleet == 0 ? 2 : 1 + static_cast<unsigned>(pick(12)));
+        for (Route &route : settings.routes)
             route.billedValue = fleet == 0 ? 5 : std::pow(10.0, static_cast<double>(pick(5)) - 2);
-        if (fleet == 0) facts.routes[0].billedValue = 0.1;
-        Desk desk(facts);
-        desk.workers(fleet == 0 ? 2 : 1 + static_cast<unsigned>(pick(6)));
-        Stream stream{desk, milliseconds(10), milliseconds(fleet == 0 ? 300 : 100 + 50 * pick(12))};
+        if (fleet == 0) settings.routes[0].billedValue = 0.1;
+        EngineHarness harness(settings);
+        harness.setWorkerCount(fleet == 0 ? 2 : 1 + static_cast<unsigned>(pick(6)));
+        CallStream stream{harness, milliseconds(10), milliseconds(fleet == 0 ? 300 : 100 + 50 * pick(12))};
         stream.run(2000).sent.clear();
         stream.run(fleet == 0 ? 6000 : 15000);
         const unsigned most = std::max({stream.sent[0], stream.sent[1], stream.sent[2]});
@@ -829,15 +852,15 @@
 TEST_CASE("a worker that turns calls away is left to its line, longer where more gateways use it") {
     for (const unsigned gateways : {2u, 100u}) {
         CAPTURE(gateways);
-        Desk desk(largeSite(gateways));
-        desk.workers(1);
+        EngineHarness harness(settingsForGateways(gateways));
+        harness.setWorkerCount(1);
         unsigned tries = 0;
         for (std::uint64_t id = 1; id <= 300; ++id) {
-            for (const SendTry &one : desk.call(id).all<SendTry>()) {
+            for (const SendTry &one : harness.receiveCall(id).actionsOf<SendTry>()) {
                 ++tries;
-                desk.pass(milliseconds(10)).ended(id, 0, one.worker, Outcome::overloaded, true);
+                harness.advance(milliseconds(10)).endTry(id, 0, one.worker, Outcome::overloaded, true);
             }
-            desk.pass(milliseconds(10));
+            harness.advance(milliseconds(10));
         }
         CHECK(tries >= 1);
         CHECK(tries <= (gateways == 2 ? 30u : 2u));  // in three seconds; a bar alone would let through 20
@@ -845,9 +868,9 @@
 }
 
 TEST_CASE("rests follow the latency of now: an overload that is over is soon forgotten") {
-    Desk desk(largeSite(40));
-    desk.workers(2);
-    Stream stream{desk, milliseconds(50), milliseconds(900)};
+    EngineHarness harness(settingsForGateways(40));
+    harness.setWorkerCount(2);
+    CallStream stream{harness, milliseconds(50), milliseconds(900)};
     stream.run(2000).to.clear();
     unsigned during = 0, after = 0;
     for (const auto &[worker, count] : stream.run(1000).to) during += count;
@@ -859,21 +882,21 @@
 }
 
 TEST_CASE("a customer whose calls wait for the counter stays, however short its window") {
-    EngineSettings facts = largeSite(100);
-    facts.plans[1].rate = 50;
-    facts.plans[1].burst = 1;
-    Desk desk(facts);
-    desk.workers(4);
-    CallReceived taken;
-    taken.call = {1};
-    taken.plan.value = 1;
-    taken.customer = {9};
-    taken.units = 1;
-    taken.gatewaySubsetSize = 100;
-    taken.timeRemaining = milliseconds(4000);
-    desk.tell(taken);
-    REQUIRE(desk.all<SendTry>().empty());
-    REQUIRE(desk.all<AddToCount>().size() >= 1);
-    desk.pass(milliseconds(300));
-    CHECK(desk.all<SendTry>().size() + desk.finals() == 1);
+    EngineSettings settings = settingsForGateways(100);
+    settings.plans[1].rate = 50;
+    settings.plans[1].burst = 1;
+    EngineHarness harness(settings);
+    harness.setWorkerCount(4);
+    CallReceived received;
+    received.call = {1};
+    received.plan.value = 1;
+    received.customer = {9};
+    received.units = 1;
+    received.gatewaySubsetSize = 100;
+    received.timeRemaining = milliseconds(4000);
+    harness.handle(received);
+    REQUIRE(harness.actionsOf<SendTry>().empty());
+    REQUIRE(harness.actionsOf<AddToCount>().size() >= 1);
+    harness.advance(milliseconds(300));
+    CHECK(harness.actionsOf<SendTry>().size() + harness.finalAnswerCount() == 1);
 }
