--- a/tests/engine_test_helpers.hpp
+++ b/tests/engine_test_helpers.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Helpers for tests of the decision engine: settings of a small site, and a harness that feeds events to an
-/// engine and keeps the actions it returns.
+/// Helpers for tests of the decision engine: settings of a small deployment, and a harness that feeds events
+/// to an engine and keeps the actions it returns.
 #pragma once
 
 #include <arrowstile/decision_engine.hpp>
--- a/tests/test_decision_engine.cpp
+++ b/tests/test_decision_engine.cpp
@@ -200,8 +200,8 @@
 }
 
 // The latency target covers the client's first request and its retries. A retry that succeeds after the
-// target uses up quota and earns next to nothing, and one that is rejected late costs. So three must fit into
-// it.
+// target uses up quota and earns next to nothing, and one that is rejected after the target costs money. So
+// three retries must fit into the target.
 TEST_CASE("a rate-limited client is told to retry within the latency target of its route") {
     struct Row {
         const char *name;
@@ -235,13 +235,14 @@
     }
 }
 
-// A late answer costs the client more, so the engine doesn't keep the call until its client's timeout.
+// The later the client is rejected, the more it costs, so the engine doesn't keep the call until the client's
+// timeout.
 TEST_CASE("a call that reached no worker is given up at once after half of its client's time") {
     for (const bool isFirstHalf : {true, false}) {
         EngineHarness harness;
         harness.setWorkerCount(3).receiveCall(1, 0, 0, 1, milliseconds(600));
         const WorkerId worker = harness.actionsOf<SendTry>().at(0).worker;
-        harness.now += milliseconds(isFirstHalf ? 250 : 310);
+        harness.now += milliseconds(isFirstHalf ? 250 : 310);  // the client waits for 600 ms
         harness.endTry(1, 0, worker, Outcome::connectFailed);
         CHECK(harness.actionsOf<SendTry>().size() == (isFirstHalf ? 1 : 0));
         CHECK(harness.finalAnswerCount() == (isFirstHalf ? 0 : 1));
@@ -347,7 +348,7 @@
     }
 }
 
-TEST_CASE("events about unknown calls, workers, counts and timers are ignored") {
+TEST_CASE("events that concern no known call, worker, count or timer are ignored") {
     EngineHarness harness;
     harness.setWorkerCount(1);
     const Event ignoredEvents[] = {CallAbandoned{{5}},
@@ -439,7 +440,7 @@
     CHECK(harness.receiveCall(3, 0, 1, 4).actionsOf<AnswerRateLimited>().size() == 1);
 }
 
-TEST_CASE("a counter that fails is asked less and less, and every admitted call is reported") {
+TEST_CASE("a failing counter receives ever fewer requests, and every admitted call is reported") {
     for (const Outcome outcome : {Outcome::timedOut, Outcome::connectFailed, Outcome::overloaded}) {
         CAPTURE(static_cast<int>(outcome));
         EngineHarness harness;
@@ -461,8 +462,8 @@
 }
 
 TEST_CASE(
-    "an open cap holds by the last known total, by the counter's reply once it was reached, by a share "
-    "without a reply") {
+    "an open cap is kept by the last known total, by the counter's reply once the cap was reached, and by a "
+    "share of it if there is no reply") {
     EngineHarness harness;
     harness.setWorkerCount(12);
     for (unsigned id : {1, 2})
@@ -537,6 +538,7 @@
     }
 }
 
+// A cold worker crashes if it is sent much more work than its present capacity.
 TEST_CASE("a cold worker receives few concurrent tries, and more as it warms up") {
     unsigned previousTries = 0;
     for (const int ageMs : {0, 5000, 9000}) {
@@ -568,7 +570,7 @@
             for (const auto &[callId, worker] : workersByCall)
                 harness.endTry(callId, 0, worker, Outcome::answered, true);
         }
-        // Then each worker has an open try for 200 ms, and worker 1 never replies.
+        // Then each worker has an open try for 200 ms. Worker 1 never replies to it.
         std::map<WorkerId, std::uint64_t> openCalls;
         for (; openCalls.size() < 4; ++id)
             openCalls.emplace(harness.receiveCall(id).actionsOf<SendTry>().at(0).worker, id);
@@ -586,6 +588,7 @@
     }
 }
 
+// A fault may affect one route only.
 TEST_CASE("a worker that fails on one route still receives calls of other routes") {
     EngineHarness harness;
     harness.setWorkerCount(4);
@@ -603,6 +606,9 @@
     CHECK(lateTriesByRoute[0] > 0);
 }
 
+// An even share of a cold worker's limit would be less than one try for each of 100 gateways, and one try
+// from each would be too many. The order of warm workers differs between the gateways, because with equal
+// orders all first calls would go to the same worker.
 TEST_CASE("many gateways take turns at a cold worker, and spread their first calls over the workers") {
     struct Row {
         const char *name;
@@ -743,6 +749,7 @@
     CHECK(countTriesToFirst(100, false) > 100);
 }
 
+// If most workers fail, they do so for a common cause, and none is a better choice than the others.
 TEST_CASE("a failing worker receives no non-idempotent calls, unless most workers fail") {
     for (const unsigned failingWorkers : {1u, 4u}) {
         CAPTURE(failingWorkers);
@@ -770,6 +777,7 @@
     }
 }
 
+// A cap of one try leaves half a try to each of the two gateways. One open try at each would exceed the cap.
 TEST_CASE("without a counter, a share of less than one open try is kept by pauses between tries") {
     EngineSettings settings = testEngineSettings();
     settings.gatewayCount = 2;
@@ -784,8 +792,8 @@
     CHECK(harness.advance(milliseconds(1000)).receiveCall(4, 0, 2).actionsOf<SendTry>().size() == 1);
 }
 
-// Nobody subtracts the open tries of a gateway that crashed from the count. So the count's name changes from
-// time to time, and a new name starts without them.
+// The open tries of a gateway that crashed are never subtracted from the count at the counter. So the count's
+// name changes from time to time, and the count of the new name starts without them.
 TEST_CASE("open tries of a crashed gateway stop filling the cap when the count's name changes") {
     EngineHarness harness;
     harness.setWorkerCount(12);
@@ -821,8 +829,8 @@
     return settings;
 }
 
-/// A stream of calls at a fixed interval on pseudo-random routes. Each try is answered by its worker after
-/// `latency`. Counts the tries by worker and by route.
+/// A stream of calls with pseudo-random routes, one after each `interval`. Each try is answered by its worker
+/// after `latency`. Counts the tries by worker and by route.
 struct CallStream {
     EngineHarness &harness;
     Duration interval;
@@ -833,6 +841,7 @@
     std::map<WorkerId, unsigned> triesByWorker{};
     std::map<unsigned, unsigned> triesByRoute{};
 
+    /// Sends this number of calls.
     CallStream &run(int calls) {
         for (; calls > 0; --calls) {
             randomState = randomState * 6364136223846793005ull + 1442695040888963407ull + ++lastCallId;
@@ -897,8 +906,8 @@
     CHECK(sentTries >= 190);
     listWorkers(workerCount - warmCount);
     stream.triesByWorker.clear();
-    stream.latency =
-        milliseconds(150);  // neither low enough to raise a worker's limit nor high enough to cut it
+    // Neither low enough to raise a worker's limit nor high enough to cut it.
+    stream.latency = milliseconds(150);
     sentTries = 0;
     for (const auto &[worker, tries] : stream.run(200).triesByWorker)
         sentTries += worker.value > workerCount - warmCount ? tries : 0;
@@ -908,7 +917,7 @@
 
 // Where workers are at their limits, calls that earn less for the time they take give way to others. They
 // must keep the larger part of the others' chances, so that no route starves.
-TEST_CASE("each route keeps at least 0.45 of the busiest route's tries, however low its billed value") {
+TEST_CASE("each route keeps more than 0.45 of the busiest route's tries, however low its billed value") {
     // Fleet 0 is fixed. The sizes, billed values and latencies of the other fleets are pseudo-random.
     std::uint64_t randomState = 7;
     for (int fleet = 0; fleet < 10; ++fleet) {
@@ -936,7 +945,7 @@
     }
 }
 
-// Otherwise all gateways return to the worker's full queue at once.
+// Without a pause all gateways would return to the worker's full queue at the same time.
 TEST_CASE("a worker that rejects calls gets time to empty its queue, more where more gateways use it") {
     for (const unsigned gatewayCount : {2u, 100u}) {
         CAPTURE(gatewayCount);
