--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -8,7 +8,7 @@
 #include "core/resource_limits.hpp"
 #include "core/start_document.hpp"
 #include "core/worker_reply.hpp"
-#include "helpers.hpp"
+#include "engine_test_helpers.hpp"
 
 using namespace arrowstile;
 using namespace arrowstile::test;
@@ -141,7 +141,7 @@
     Settings site;
     site.routeNames = {"status", "order"};
     site.planNames = {"basic", "team"};
-    site.engine = smallSite();
+    site.engine = testEngineSettings();
     site.engine.gatewayCount = 3;
     site.engine.maxUnits = 6;
     const std::string customer = "00000000b4d65521",
