--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -1,3 +1,14 @@
+/// \file
+/// Binary format in which a simulator exchanges events and actions with decision engines.
+///
+/// Both directions carry frames. A frame starts with a length field, the number of bytes that follow as a
+/// 32-bit integer. A request frame then holds the simulated time and any number of records, each an event or
+/// the start or stop of an engine instance; its reply frame holds records only, one for each action. A record
+/// starts with its code (8 bits) and the engine instance that it concerns (32 bits). Its other fields depend
+/// on the code and are defined in wire.cpp.
+///
+/// Integers are unsigned and big-endian. Real numbers are IEEE 754 values of 32 or 64 bits, also big-endian.
+/// Times and durations are 64-bit real numbers in milliseconds.
 #pragma once
 
 #include <arrowstile/actions.hpp>
@@ -11,42 +22,55 @@
 
 namespace arrowstile::simhost {
 
-struct WireError : std::runtime_error {
+/// A frame can't be read, decoded or processed.
+struct FrameError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-using InstanceNumber = Id<struct InstanceTag, std::uint32_t>;
+/// One of the decision engines that the simulator drives; chosen by the simulator.
+using InstanceId = Id<struct InstanceTag, std::uint32_t>;
 
-struct Started {
-    std::uint64_t seed = 0;
-    std::string settings;
+/// Creates the engine of an instance. Replaces the engine if the instance is running already.
+struct StartInstance {
+    std::uint64_t seed = 0;  ///< of the engine's random number generator
+    std::string settings;    ///< JSON text, see readSettings
 };
 
-struct Stopped {};
+/// Destroys the engine of an instance. Has no effect if the instance isn't running.
+struct StopInstance {};
 
-struct Happening {
-    InstanceNumber instance;
-    std::variant<Started, Stopped, Event> what;
+/// One record of a request frame.
+struct RequestRecord {
+    InstanceId instance;
+    std::variant<StartInstance, StopInstance, Event> content;
 };
 
-struct Batch {
-    Timestamp now{};
-    std::vector<Happening> happenings;
+/// A decoded request frame.
+struct RequestFrame {
+    Timestamp now{};                     ///< simulated time at which all records of the frame occur
+    std::vector<RequestRecord> records;  ///< in the order in which they are to be processed
 };
 
-/// The longest frame that is believed; anything above is taken for a broken length.
-constexpr std::uint32_t longestFrame = 1u << 30;
+/// Size of the field at the start of each frame that holds the number of bytes after it.
+constexpr std::size_t kLengthFieldBytes = 4;
 
-/// Decodes what follows the length field of a frame.
-Batch decodeBatch(std::string_view body);
+/// The largest length that is accepted for a frame; a larger one is taken for a corrupt length field.
+constexpr std::uint32_t kMaxFrameBytes = 1u << 30;
 
-class Reply {
+/// Decodes a request frame from the bytes after its length field. Throws FrameError if they are malformed.
+RequestFrame decodeRequestFrame(std::string_view body);
+
+/// The actions that the engines return for one request frame, encoded as records.
+class ReplyFrame {
 public:
-    void add(InstanceNumber instance, const Action &action);
-    std::string frame() const;
+    /// Appends the record of one action of an instance.
+    void add(InstanceId instance, const Action &action);
+
+    /// Returns the bytes of the whole frame, with its length field.
+    std::string encode() const;
 
 private:
-    std::string body_;
+    std::string body_;  // the frame without its length field
 };
 
 }  // namespace arrowstile::simhost
