--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The tasks of everyday work; README.md tells what they need.
+# Targets for development. README.md lists what they need.
 JOBS ?= 4
 
 .PHONY: build lab test lint run clean
@@ -7,7 +7,7 @@
 	cmake -B build -DCMAKE_BUILD_TYPE=Release
 	cmake --build build -j$(JOBS)
 
-# The laboratory, beside the daemon: needs two more libraries.
+# Builds the laboratory, which needs two libraries that the daemon does not: CLI11 and toml++.
 lab:
 	cmake -B build-lab -DCMAKE_BUILD_TYPE=Release -DARROWSTILE_LAB=ON
 	cmake --build build-lab -j$(JOBS) --target arrowstile-lab
@@ -20,7 +20,7 @@
 lint:
 	clang-format --dry-run --Werror $$(git ls-files '*.cpp' '*.hpp')
 
-# Against examples/toy_backend.py, which is started beside it and ended with it.
+# Runs the daemon against the servers of examples/toy_backend.py, which end when it does.
 run: build
 	python3 examples/toy_backend.py & toy=$$!; trap "kill $$toy" EXIT; EDGE_CONFIG=examples/start.json build/arrowstile
 
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-TEST_CASE("decodeRequestFrame reads the time and each field of the records") {
+TEST_CASE("decodeRequestFrame reads the time, the records and their fields") {
     const RequestFrame frame = decodeRequestFrame(
         fromHex(kFrameTimeHex +
                 "5a 00000003 000b08315d3a91c4 3f800000 406e000000000000 0002 40000000 40400000 01 0006 "
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("serve ends on invalid input with exit code 1, one line of error and no reply") {
+TEST_CASE("serve replies to valid frames, and ends on invalid input with one line of error and no reply") {
     struct Row {
         const char *name;
         std::string input;
