--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -47,7 +47,7 @@
 constexpr std::uint16_t kClientRetryFlag = 2;
 constexpr std::uint16_t kWriteFlag = 4;
 
-/// Receiver of a peer message that goes to all peers.
+/// Sent instead of a peer's index for a message to all peers.
 constexpr std::uint32_t kAllPeers = std::numeric_limits<std::uint32_t>::max();
 
 /// Log texts are cut to this length, because it is sent as a 16-bit integer.
@@ -163,7 +163,7 @@
 Event readCallReceived(FrameReader &in) {
     CallReceived received;
     received.call = readId<CallId>(in);
-    // The two subset fields are whole numbers sent as real numbers. Negative values and NaN are read as 0.
+    // Both gatewaySubset fields are whole numbers sent as real numbers. Negative values and NaN become 0.
     received.gatewaySubsetStart = static_cast<unsigned>(std::max(0.0, in.readFloat32()));
     received.timeRemaining = in.readDuration();
     received.plan = readId<PlanId>(in);
@@ -185,7 +185,7 @@
     ended.outcome = readOutcome(in);
     ended.latency = in.readDuration();
     ended.isCallClosed = in.readInteger<std::uint8_t>() != 0;
-    // Both optional fields are 0 when they are absent. The first is the percentage plus 1.
+    // In both optional fields, 0 stands for no value. The first field holds a percentage plus 1.
     if (const auto used = in.readInteger<std::uint16_t>(); used > 0) {
         ended.rateUsedFraction = (used - 1) / 100.0;
     }
@@ -219,7 +219,7 @@
         }
         case event_code::kPeerMessageReceived: {
             PeerMessageReceived message;
-            message.from.value = in.readInteger<std::uint16_t>();  // 16 bits here, 32 bits in sendPeerMessage
+            message.from.value = in.readInteger<std::uint16_t>();  // 16 bits here, 32 bits in SendPeerMessage
             for (const char byte : in.readBytes(in.readInteger<std::uint16_t>())) {
                 message.bytes.push_back(static_cast<std::byte>(byte));
             }
