--- a/src/decision_engine.cpp
+++ b/src/decision_engine.cpp
@@ -1,11 +1,22 @@
-// Every decision of a gatekeeper. Hand each event to DecisionEngine::handle with the time, in the order in
-// which things happened, and carry out the actions that come back in theirs. The interface is declared in
-// include/arrowstile/decision_engine.hpp; docs/design.md tells what departs from the design's source.
-// The design: admits() decides at once from a cached two-window estimate; report() tells the counter of every
-// pass in the background, and the late reply refreshes the cache. Six mechanisms stand beside it:
-//   1 ranked fill: pick(), reorder(), learnLimit()   4 line of further tries: serveLine()
-//   2 health by route: learn(), callOffOvertaken()   5 guards: underCeiling(), underCap(), decideHeld()
-//   3 warm-up limits: coldLimit()                    6 trust in the counter: trusted(), mayCall(), refresh()
+/// \file
+/// The decision engine: DecisionEngine of arrowstile/decision_engine.hpp. It receives the events of one
+/// gateway with their times and returns the actions to carry out. It does no I/O and reads no clock.
+///
+/// Rate limiting follows a published design with a cached two-window estimate. Each customer's use is counted
+/// in fixed windows on the shared counter. quotaAdmits() decides a call at once from the cached totals of the
+/// current and the previous window. reportCount() adds each admitted call to the counter in the background,
+/// and the reply refreshes the cache. docs/design.md lists where the engine departs from the published
+/// design.
+///
+/// These mechanisms stand beside the estimate, in this order of the file:
+/// - Requests to the counter: pacing and its trust. tryTakeRequestTokens(), adjustRequestRate(),
+///   isCounterTrusted(), rereadTotals().
+/// - Hard bounds: ceilings in ceilingAdmits(), caps on open tries in openCapAdmits() and decideHeldCalls().
+/// - Retry queue: serveRetryQueue(), mayRetry().
+/// - Load balancing with a concurrency limit for each worker: pickWorker(), rebuildWorkerOrder(),
+///   rankWorkers(), adjustConcurrencyLimit().
+/// - Outlier ejection by worker and route: recordOutcome(), cancelOvertakenTries().
+/// - Slow start of cold workers: warmUpLimit().
 #include <algorithm>
 #include <array>
 #include <arrowstile/decision_engine.hpp>
@@ -23,921 +34,1271 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kTick = milliseconds(10);
+constexpr Duration kTickInterval = milliseconds(10);
 constexpr TimerToken kTickToken{1};
 
-constexpr double kNearQuota = 0.5;                // of the burst; below it totals are read again,
-constexpr Duration kRefresh = milliseconds(100);  // at most so often
-constexpr Duration kBar = milliseconds(250), kBack = milliseconds(2000), kFullFor = milliseconds(3000);
-constexpr int kAdvice = 3;              // so many fit into a latency target,
-constexpr double kJitter = 0.5;         // less by up to this part
-constexpr std::size_t kDueLooked = 64;  // of the line of counts, by a tick
-constexpr Duration kOpenEpoch = milliseconds(20000), kLongest = milliseconds(60000);
-// To the counter, a second and at once: figures of all gateways together, each has its even part.
-constexpr double kCallsFirst = 600, kCallsLeast = 15, kLookAgain = 1;  // the last of each gateway
-constexpr double kCallsMore = 1200, kCallsCut = 0.7, kCallsAtOnce = 60;
-
-constexpr double kFewest = 8;                         // workers that a gateway uses at least
-constexpr double kFirstLimit = 6, kLimitMore = 4;     // of all gateways together
-constexpr double kCrossing = 0.15, kCheapPart = 0.6;  // of the usual latency; of a limit, for cheap calls
-constexpr double kLateAt = 0.2, kEasyAt = 0.08;       // of the latency target
-
-constexpr double kBadShare = 0.3, kFar = 3;             // of the outcomes; times the usual latency, by units
-constexpr std::size_t kJudgedFrom = 4, kTurnsFrom = 8;  // samples; gateways
-
-double ms(Duration span) { return static_cast<double>(span.count()) / 1000; }
-
-Duration spanOf(double inMs) { return Duration{std::llround(inMs * 1000)}; }
-
-std::uint64_t mixed(std::uint64_t value) {
+// Quotas and open caps.
+
+/// Fraction of the burst. Below this level of the quota's bucket the totals are read again.
+constexpr double kRereadBelowBurstFraction = 0.5;
+/// Minimum time between two such reads of a customer's current window.
+constexpr Duration kRereadInterval = milliseconds(100);
+/// For this long after an open cap was full, cached totals don't decide about it.
+constexpr Duration kCapFullPeriod = milliseconds(3000);
+/// Length of the windows in which open tries are counted. It also stands for the window length of plans
+/// without a quota on the rate.
+constexpr Duration kOpenCountEpoch = milliseconds(20000);
+/// Longest lifetime of a count on the counter.
+constexpr Duration kMaxCountLifetime = milliseconds(60000);
+
+// Retry-after times.
+
+/// Number of retry-after times that fit into a route's latency target.
+constexpr int kRetriesPerLatencyTarget = 3;
+/// A retry-after time is shortened at random by up to this fraction.
+constexpr double kRetryAfterJitterFraction = 0.5;
+
+// Requests to the counter. Rates and the burst are those of all gateways together, of which each gateway has
+// an even share, unless the name says otherwise.
+
+constexpr double kInitialRequestsPerSecond = 600;
+/// Bounds the reduction of the rate while the counter is slow or fails.
+constexpr double kMinRequestsPerSecond = 15;
+/// Bounds it as well, for each gateway alone.
+constexpr double kMinRequestsPerSecondPerGateway = 1;
+/// Increase of the rate within a second in which the counter answers in time and all of the rate is used.
+constexpr double kRequestRateIncreasePerSecond = 1200;
+constexpr double kRequestRateCutFactor = 0.7;
+/// Requests that may be sent at once, after a pause.
+constexpr double kMaxRequestBurstCount = 60;
+/// Customers of the report queue that a tick examines.
+constexpr std::size_t kQueuedReportsPerTickCount = 64;
+
+// Load balancing.
+
+/// Minimum number of healthy workers that a gateway uses.
+constexpr double kMinWorkersPerGatewayCount = 8;
+/// Initial concurrency limit of a worker: tries of all gateways together.
+constexpr double kInitialConcurrencyLimit = 6;
+/// Maximum increase of a worker's concurrency limit after one answer, for all gateways together.
+constexpr double kMaxLimitIncrease = 4;
+/// Penalty on a worker's rank for being in another zone, as a fraction of the usual latency.
+constexpr double kOtherZonePenaltyFraction = 0.15;
+/// Fraction of a worker's concurrency limit that calls of low value may fill.
+constexpr double kLowValueLimitFraction = 0.6;
+/// Fraction of the latency target. An answer that took longer counts as slow and reduces the worker's
+/// concurrency limit.
+constexpr double kSlowLatencyFraction = 0.2;
+/// Fraction of the latency target. An answer that took less may raise the worker's concurrency limit.
+constexpr double kFastLatencyFraction = 0.08;
+
+// Outlier ejection.
+
+/// Base of the time for which a worker is ejected. It is multiplied by the number of recent failures.
+constexpr Duration kEjectionBase = milliseconds(250);
+/// After an ejection, time for which a worker that still counts as failing gets no non-idempotent calls.
+constexpr Duration kNonIdempotentReturnDelay = milliseconds(2000);
+/// A worker fails on a route when more than this fraction of its recent outcomes there are bad.
+constexpr double kFailingFraction = 0.3;
+/// Number of outcomes from which on a worker is judged.
+constexpr std::size_t kMinHealthSampleCount = 4;
+/// A try is overdue after this multiple of its route's mean latency, times (1 + units of the call).
+constexpr double kOverdueLatencyFactor = 3;
+
+// Slow start.
+
+/// Number of gateways from which on they take turns at a cold worker that can't take one try of each.
+constexpr std::size_t kMinGatewaysForTurnsCount = 8;
+
+double toMs(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
+
+Duration fromMs(double durationMs) { return Duration{std::llround(durationMs * 1000)}; }
+
+/// Hashes a 64-bit value, with the final mixing step of SplitMix64.
+std::uint64_t mix64(std::uint64_t value) {
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ull;
     value = (value ^ (value >> 27)) * 0x94d049bb133111ebull;
     return value ^ (value >> 31);
 }
 
-/// The last few samples of a measurement.
-template <std::size_t most>
-struct Recent {
-    void add(double sample) { samples[added++ % most] = sample; }
-    std::size_t size() const { return std::min(added, most); }
+/// The last `capacity` samples of a measurement.
+template <std::size_t capacity>
+struct RecentSamples {
+    void add(double sample) { samples[addedCount++ % capacity] = sample; }
+    std::size_t size() const { return std::min(addedCount, capacity); }
     double sum() const { return std::accumulate(samples.begin(), samples.begin() + size(), 0.0); }
-    double mean(double otherwise) const { return added > 0 ? sum() / double(size()) : otherwise; }
+    /// Returns `fallback` when there is no sample.
+    double mean(double fallback) const { return addedCount > 0 ? sum() / double(size()) : fallback; }
 
-    std::array<double, most> samples{};
-    std::size_t added = 0;
+    std::array<double, capacity> samples{};  ///< those that were not yet added are 0
+    std::size_t addedCount = 0;              ///< samples ever added
 };
 
-struct RouteRow : Route {
-    Recent<64> latencies;
-    Recent<64> work;  // of the same, each up to where it counts as late: beyond that a worker's line speaks
-    bool commonFailure = false;  // most workers fail: something they share, and none is better
+/// A route's settings, and what was measured of its calls on all workers.
+struct RouteState : Route {
+    RecentSamples<64> latenciesMs;  ///< of answered tries
+    /// Estimated service times: the same latencies, each cut at kSlowLatencyFraction of the target. What
+    /// exceeds that is taken as time spent in the worker's queue.
+    RecentSamples<64> serviceTimesMs;
+    /// Most workers in use fail on this route. The cause is something they share, so none of them is ejected.
+    bool isFailureCommon = false;
 };
 
-/// How a worker does on one route: a fault may hit one route and spare the others.
-struct Health {
-    Recent<16> bad;  // 1: no good answer
-    Timestamp barredUntil{};
+/// Health of a worker on one route: a fault may affect one route and spare the others.
+struct RouteHealth {
+    RecentSamples<16> failures;  ///< 1 for a failed try, 0 for an answered one
+    Timestamp ejectedUntil{};
 };
 
+/// A worker on discovery's list, or one that left it while tries are still in flight.
 struct Worker {
     WorkerEntry entry;
-    int out = 0, cuts = 0;  // cuts: since its last answer
-    double limit = 1, share = 1, key = 1;
-    Recent<16> slowness;                               // latency over the route's usual one
-    Recent<4> answered;                                // when the tries that it answered last had been sent
-    Timestamp barredUntil{}, limitCutAt{}, endedAt{};  // endedAt: none before the first answer
-    std::vector<Health> health;                        // by route
-    bool left() const { return entry.state == WorkerState::gone && out == 0; }
+    int triesInFlight = 0;        ///< of this gateway
+    int connectionFailures = 0;   ///< since its last answer
+    double concurrencyLimit = 1;  ///< tries in flight of all gateways together
+    /// Tries in flight up to which pickWorker() fills this worker in its first pass: those at the last
+    /// ranking and one more.
+    double spreadLimit = 1;
+    double rankKey = 1;                      ///< the worker with the lowest key is tried first
+    RecentSamples<16> relativeLatencies;     ///< of its answers, divided by the mean latency of the route
+    RecentSamples<4> answeredTriesSentAtMs;  ///< when the last tries that it answered had been sent
+    Timestamp ejectedUntil{};                ///< from all routes
+    Timestamp limitReducedAt{};              ///< when its latency last reduced the concurrency limit
+    /// When it last answered a try, with a result, an error or as overloaded. Zero: not yet.
+    Timestamp lastReplyAt{};
+    std::vector<RouteHealth> healthByRoute;
+    bool isRemovable() const { return entry.state == WorkerState::gone && triesInFlight == 0; }
 };
 
-/// A count on the counter service as this gateway knows it.
-struct Count {
-    std::int64_t index = -1;
-    double total = 0, confirmed = 0;                   // the last reply, and our own part of it
-    double calling = 0, unsent = 0, unknown = 0;       // our own that no reply holds yet
-    bool heard = false, callOut = false, due = false;  // due: holds a pass that has not been reported
-    Timestamp heardAt{};                               // the last reply
-    Duration heardFor{};                               // how much of the window it covers
-    double booked = 0;  // the others' part that the refilled store below has taken in
-    double use() const { return total + calling + unsent + unknown; }
-    double own() const { return confirmed + calling + unsent + unknown; }
-    double others() const { return heard ? std::max(0.0, total - confirmed) : 0; }
+/// One count on the counter service, for one customer and one window, as far as this gateway's cache has it.
+/// Amounts are units or open tries.
+struct CachedCount {
+    std::int64_t windowIndex = -1;
+    double total = 0;      ///< by the last reply
+    double confirmed = 0;  ///< this gateway's part of `total`
+    // This gateway's additions that are in no reply yet:
+    double inRequest = 0;      ///< sent with the request that is in flight
+    double unreported = 0;     ///< not sent yet
+    double unconfirmed = 0;    ///< sent with requests that failed and may have been carried out or not
+    bool hasTotal = false;     ///< a reply was received
+    bool isRequested = false;  ///< a request for this count is in flight
+    bool needsReport = false;  ///< a change has not been sent yet
+    Timestamp totalReadAt{};   ///< when the last reply was received
+    Duration totalCovers{};    ///< how much of the window, from its start, the last reply covers
+    /// The other gateways' part that has been taken out of Customer::bucketLevel.
+    double othersInBucket = 0;
+    double usage() const { return total + inRequest + unreported + unconfirmed; }
+    double ownUsage() const { return confirmed + inRequest + unreported + unconfirmed; }
+    double othersUsage() const { return hasTotal ? std::max(0.0, total - confirmed) : 0; }
 };
 
-enum class Meaning : std::uint8_t { units, open };
-enum class Ask : std::uint8_t { pass, read, turn, first };  // why the counter is called
+/// What a count measures: units used in a window, or tries that are open.
+enum class CountKind : std::uint8_t { units, openTries };
 
-/// The two windows of the estimate, or two epochs of an open count.
-struct Pair {
-    Count current, previous;
-    Count *at(std::int64_t index) {
-        return current.index == index ? &current : previous.index == index ? &previous : nullptr;
+/// Why a request is sent to the counter.
+enum class ReportReason : std::uint8_t {
+    change,      ///< calls were admitted, or tries opened or closed
+    read,        ///< the total is needed, whether or not there is something to add
+    queueTurn,   ///< the customer's turn in the report queue has come
+    firstTotals  ///< a call waits for the customer's first totals
+};
+
+/// The two windows of the estimate, or two epochs of the count of open tries.
+struct WindowPair {
+    CachedCount current, previous;
+    /// Returns nullptr when the window is neither the current nor the previous one.
+    CachedCount *find(std::int64_t windowIndex) {
+        return current.windowIndex == windowIndex    ? &current
+               : previous.windowIndex == windowIndex ? &previous
+                                                     : nullptr;
     }
-    void turnTo(std::int64_t index) {
-        if (index != current.index) {
-            previous = index == current.index + 1 ? current : Count{.index = index - 1};
-            current = Count{.index = index};
+    void advanceTo(std::int64_t windowIndex) {
+        if (windowIndex != current.windowIndex) {
+            previous = windowIndex == current.windowIndex + 1 ? current
+                                                              : CachedCount{.windowIndex = windowIndex - 1};
+            current = CachedCount{.windowIndex = windowIndex};
         }
     }
 };
 
+/// A customer with a recent call.
 struct Customer {
     PlanId plan;
-    unsigned gateways = 1;
-    Pair units, open;
-    int openHere = 0;
-    Timestamp fullAt{}, openRest{};  // when the open cap was last full, and how long its share rests
-    std::deque<CallId> held;    // for the counter's answer; the first so many are counted by the call out
-    std::deque<CallId> asking;  // wait for the first totals of the customer
-    std::size_t heldInCall = 0;
-    bool known = false, listed = false;  // by the counter's replies; among those with a count to report
-    double othersPerMs = 0;  // their use by the last totals, never above the rate: they are held to it too
-    double refilled = 0, guessed = 0;  // the quota's store as it is known, and what was guessed into it
-    double ceilingLeft = 0;
-    Timestamp refilledAt{}, ceilingAt{}, seenAt{};
+    unsigned subsetSize = 1;  ///< gateways over which the customer's calls are spread
+    WindowPair unitCounts, openCounts;
+    int ownOpenTries = 0;             ///< open through this gateway, with the calls of heldCalls
+    Timestamp capFullAt{};            ///< when the open cap was last found full; zero: never
+    Timestamp openShareRestsUntil{};  ///< the share of the open cap is zero until then, see openCapShare()
+    /// Calls held until the counter has counted their tries against the open cap, oldest first.
+    std::deque<CallId> heldCalls;
+    std::deque<CallId> callsAwaitingTotals;  ///< calls that wait for the customer's first totals
+    std::size_t heldInRequest = 0;  ///< the first so many of heldCalls are in the request that is in flight
+    bool hasTotals = false;         ///< a reply with a total of units was received
+    bool isQueued = false;          ///< in Impl::reportQueue
+    /// Units a millisecond that the other gateways admit, by the last totals. Never above the plan's rate,
+    /// since the quota limits them too.
+    double othersUnitsPerMs = 0;
+    double bucketLevel = 0;  ///< units in the quota's token bucket, all gateways considered
+    /// Units that were taken out of bucketLevel since the last total on the assumption that the other
+    /// gateways admit othersUnitsPerMs.
+    double assumedOthersUnits = 0;
+    double ceilingLevel = 0;  ///< units in this gateway's share of the ceiling's bucket
+    Timestamp bucketUpdatedAt{}, ceilingUpdatedAt{};
+    Timestamp lastCallAt{};
 };
 
+/// A call that has no final answer yet, or whose try is still in flight.
 struct Call : CallReceived {
-    Timestamp taken{}, until{}, sentAt{}, maybeRanFrom{};
-    unsigned tries = 0;
-    bool out = false, held = false, closed = false, mayHaveRun = false, calledOff = false;
-    WorkerId worker{};
-    WorkerEntry maybeRanAt{};
-    std::int64_t openEpoch = -1;
+    Timestamp receivedAt{};
+    Timestamp deadline{};         ///< when the client stops waiting
+    Timestamp sentAt{};           ///< when the last try was sent
+    Timestamp mayHaveRunSince{};  ///< when the first try that may have run was sent
+    unsigned triesSent = 0;
+    bool hasTryInFlight = false;
+    bool isHeld = false;          ///< waits for a reply of the counter
+    bool isClosed = false;        ///< the engine owes no answer any more
+    bool mayHaveRun = false;      ///< a worker may have run it
+    bool isTryCancelled = false;  ///< CancelTry was returned for the last try
+    WorkerId lastWorker{};        ///< of the last try
+    WorkerEntry mayHaveRunOn{};   ///< worker of the first try that may have run
+    std::int64_t openEpoch = -1;  ///< epoch in which its try was counted as open; -1: none
 };
 
 }  // namespace
 
 struct DecisionEngine::Impl {
-    Impl(const EngineSettings &given, std::uint64_t seed) : facts(given), chanceState(mixed(seed)) {
-        for (const Route &rt : facts.routes) routes.push_back({rt});
-        rerank();
-        callsASecond = part(kCallsFirst);
-        callsLeft = atOnce();
+    Impl(const EngineSettings &engineSettings, std::uint64_t seed)
+        : settings(engineSettings), randomState(mix64(seed)) {
+        for (const Route &route : settings.routes) routes.push_back({route});
+        rankWorkers();
+        requestsPerSecond = gatewayShare(kInitialRequestsPerSecond);
+        requestTokens = maxRequestTokens();
     }
 
-    EngineSettings facts;
-    Plan unlimited;
-    std::uint64_t chanceState;
-    std::vector<RouteRow> routes;
+    EngineSettings settings;
+    Plan unlimitedPlan;  ///< for plans that the settings don't have
+    std::uint64_t randomState;
+    std::vector<RouteState> routes;
     std::map<WorkerId, Worker> workers;
-    std::vector<Worker *> order, ranked;
+    std::vector<Worker *> readyWorkers;   ///< all ready workers, in this gateway's fixed order of preference
+    std::vector<Worker *> rankedWorkers;  ///< those that this gateway uses at present, best first
     std::map<CallId, Call> calls;
     std::map<CustomerId, Customer> customers;
-    std::map<CountName, std::tuple<CustomerId, Meaning, std::int64_t>> countCalls;
-    std::deque<CallId> line;
-    std::deque<CustomerId> due;  // have a count to report, or calls held for the counter
-    Recent<64> worths;
-    Recent<16> took;  // latencies, of whatever route
-    Recent<32> sendGaps;
-    double callsASecond = 0, callsLeft = 0;
-    double usual = 0, work = 0;  // latencies, as they are now and without the wait, when last ranked
-    Timestamp now{}, startedAt{}, pacedAt{}, paceCutAt{}, countOkAt{}, sentLast{};
-    bool ticking = false, countFailing = false, orderOld = true;
-    std::size_t warm = 0;  // ready workers that are not cold
-    CustomerId lookedAt;
-    std::vector<Action> actions;
-
-    std::vector<Action> handle(Timestamp at, const Event &event) {
-        now = at;
+    /// Requests to the counter in flight, with the customer, kind and window of the count.
+    std::map<CountName, std::tuple<CustomerId, CountKind, std::int64_t>> counterRequests;
+    std::deque<CallId> retryQueue;        ///< calls whose last try has ended without an answer to the client
+    std::deque<CustomerId> reportQueue;   ///< customers with a count to report, or with held calls
+    RecentSamples<64> recentValuesPerMs;  ///< valuePerMs() of the calls that were about to be sent
+    RecentSamples<16> recentLatenciesMs;  ///< of answered tries on any route
+    RecentSamples<32> recentSendGapsMs;   ///< between consecutive tries
+    double requestsPerSecond = 0;         ///< rate of requests to the counter that is allowed at present
+    double requestTokens = 0;             ///< level of the token bucket for requests to the counter
+    double usualLatencyMs = 0;            ///< mean of the recent latencies, when last ranked
+    double usualServiceTimeMs = 0;        ///< the same without the time in workers' queues
+    Timestamp now{};                      ///< time of the event that is being handled
+    Timestamp startedAt{};                ///< time of the first event
+    Timestamp requestTokensUpdatedAt{};
+    Timestamp requestRateReducedAt{};
+    Timestamp counterAnsweredAt{};  ///< when the counter last gave a usable or an error reply
+    Timestamp lastTrySentAt{};
+    bool isTicking = false;           ///< the periodic timer was started
+    bool isCounterFailing = false;    ///< the last request to the counter failed
+    bool isRankingStale = true;       ///< rankWorkers() must run before the next choice of a worker
+    std::size_t warmWorkerCount = 0;  ///< ready workers that are not cold
+    CustomerId lastCheckedCustomer;   ///< position of evictIdleCustomers()
+    std::vector<Action> actions;      ///< that the current event has led to so far
+
+    /// DecisionEngine::handle.
+    std::vector<Action> handle(Timestamp eventTime, const Event &event) {
+        now = eventTime;
         actions.clear();
-        if (!std::exchange(ticking, true)) {
-            startedAt = pacedAt = now;
-            actions.push_back(SetTimer{now + kTick, kTickToken});
+        if (!std::exchange(isTicking, true)) {
+            startedAt = requestTokensUpdatedAt = now;
+            actions.push_back(SetTimer{now + kTickInterval, kTickToken});
         }
-        std::visit([this](const auto &what) { on(what); }, event);
+        std::visit([this](const auto &typedEvent) { on(typedEvent); }, event);
         return std::move(actions);
     }
 
-    // ---- the design: the cached two-window estimate ----
+    // ---- Quotas: the cached two-window estimate ----
 
     const Plan &planOf(PlanId id) const {
-        return id.value < facts.plans.size() ? facts.plans[id.value] : unlimited;
-    }
-
-    static bool limitsRate(const Plan &plan) { return plan.rate > 0 && plan.burst > 0; }
-
-    Duration windowOf(const Plan &plan) const {
-        return limitsRate(plan) ? Duration{1} + spanOf(plan.burst / plan.rate * 1000) : kOpenEpoch;
-    }
-
-    /// A phase for each customer: not all windows turn at one moment.
-    Timestamp phased(CustomerId id, Duration length) const {
-        return now + Duration{static_cast<std::int64_t>(mixed(id.value) >> 1) % length.count()};
-    }
-
-    Customer &customerOf(const CallReceived &rq) {
-        auto [at, fresh] = customers.try_emplace(rq.customer);
-        Customer &cons = at->second;
-        cons.plan = rq.plan;
-        cons.gateways = std::clamp(rq.gatewaySubsetSize, 1u, facts.gatewayCount);
-        cons.seenAt = now;
-        if (!fresh) return cons;
-        cons.ceilingAt = startedAt;
-        cons.refilledAt = now;
-        cons.refilled = planOf(rq.plan).burst;
-        cons.othersPerMs = planOf(rq.plan).rate / 1000 * (1 - 1.0 / cons.gateways);
-        return cons;
-    }
-
-    bool admits(CustomerId id, Customer &cons, double units) {
-        const Plan &plan = planOf(cons.plan);
-        if (!limitsRate(plan)) return true;
-        const double limit = plan.rate * ms(windowOf(plan)) / 1000;
-        turn(id, cons);
-        const double own = cons.units.current.own() + cons.units.previous.own();
-        if (!cons.known && own <= 0) return true;
-        // The estimate fades in proportion, the quota fills at its rate: after a burst it would refuse with
-        // half unused. There the refilled store has the last word, with room for calls that others passed
-        // unseen.
-        const double unseen = std::max(1.0, cons.gateways / 2.0 - 1);
-        return estimate(id, cons) + units <= limit || (cons.known && cons.refilled >= units * unseen);
-    }
-
-    void turn(CustomerId id, Customer &cons) {
-        const Plan &plan = planOf(cons.plan);
-        const Duration length = windowOf(plan);
-        cons.units.turnTo(phased(id, length) / length);
-        const double passed = ms(now - cons.refilledAt), others = cons.othersPerMs * passed;
-        cons.refilled = std::min(plan.burst, cons.refilled + plan.rate / 1000 * passed - others);
-        cons.guessed += others;
-        cons.refilledAt = now;
-    }
-
-    /// Between replies the others go on: against old totals that let each gateway pass the limit alone.
-    /// Before the first reply that leaves an even share, in an outage what they left by the last replies.
-    double estimate(CustomerId id, const Customer &cons) const {
-        const Duration length = windowOf(planOf(cons.plan)), into = phased(id, length) % length;
-        const Count &current = cons.units.current, &previous = cons.units.previous;
-        const double unseen = cons.othersPerMs * ms(into - current.heardFor);
-        const double before = cons.othersPerMs * ms(length - previous.heardFor);
-        return current.use() + unseen + (previous.use() + before) * (1 - ms(into) / ms(length));
-    }
-
-    /// PCG-XSH-RR, 64 bits of state, 32 of output; from 0 to 1.
-    double chance() {
-        const std::uint64_t old = chanceState;
-        chanceState = old * 6364136223846793005ull + 1442695040888963407ull;
+        return id.value < settings.plans.size() ? settings.plans[id.value] : unlimitedPlan;
+    }
+
+    static bool hasRateQuota(const Plan &plan) { return plan.rate > 0 && plan.burst > 0; }
+
+    /// Length of the windows in which a customer's units are counted: the time in which the quota's bucket
+    /// fills. Never zero.
+    Duration windowLength(const Plan &plan) const {
+        return hasRateQuota(plan) ? Duration{1} + fromMs(plan.burst / plan.rate * 1000) : kOpenCountEpoch;
+    }
+
+    /// Returns the time shifted by an offset that depends on the customer only. Windows are derived from it,
+    /// so that those of different customers don't all change at the same moment.
+    Timestamp shiftedNow(CustomerId id, Duration length) const {
+        return now + Duration{static_cast<std::int64_t>(mix64(id.value) >> 1) % length.count()};
+    }
+
+    /// Finds or creates the state of the call's customer and updates it from the call.
+    Customer &customerOf(const CallReceived &received) {
+        auto [found, isNew] = customers.try_emplace(received.customer);
+        Customer &customer = found->second;
+        customer.plan = received.plan;
+        customer.subsetSize = std::clamp(received.gatewaySubsetSize, 1u, settings.gatewayCount);
+        customer.lastCallAt = now;
+        if (!isNew) return customer;
+        customer.ceilingUpdatedAt = startedAt;
+        customer.bucketUpdatedAt = now;
+        customer.bucketLevel = planOf(received.plan).burst;
+        // Until the first totals arrive, the other gateways are assumed to use all but an even share.
+        customer.othersUnitsPerMs = planOf(received.plan).rate / 1000 * (1 - 1.0 / customer.subsetSize);
+        return customer;
+    }
+
+    /// Decides from the cache whether the customer's quota on the rate has room for a call. A customer
+    /// without totals and without use through this gateway is always admitted.
+    bool quotaAdmits(CustomerId id, Customer &customer, double units) {
+        const Plan &plan = planOf(customer.plan);
+        if (!hasRateQuota(plan)) return true;
+        const double limit = plan.rate * toMs(windowLength(plan)) / 1000;
+        advanceQuota(id, customer);
+        const double own = customer.unitCounts.current.ownUsage() + customer.unitCounts.previous.ownUsage();
+        if (!customer.hasTotals && own <= 0) return true;
+        // The estimate lets the previous window's use fade in proportion to time, while the quota refills at
+        // its rate. After a burst the estimate alone would therefore refuse with half of the quota unused. In
+        // that case the bucket's level decides, with room left for calls that other gateways admitted and
+        // that are in no total yet.
+        const double unseenFactor = std::max(1.0, customer.subsetSize / 2.0 - 1);
+        return estimatedUsage(id, customer) + units <= limit ||
+               (customer.hasTotals && customer.bucketLevel >= units * unseenFactor);
+    }
+
+    /// Moves the customer's windows and the level of the quota's bucket on to the present.
+    void advanceQuota(CustomerId id, Customer &customer) {
+        const Plan &plan = planOf(customer.plan);
+        const Duration length = windowLength(plan);
+        customer.unitCounts.advanceTo(shiftedNow(id, length) / length);
+        const double elapsedMs = toMs(now - customer.bucketUpdatedAt);
+        const double othersUnits = customer.othersUnitsPerMs * elapsedMs;
+        customer.bucketLevel =
+            std::min(plan.burst, customer.bucketLevel + plan.rate / 1000 * elapsedMs - othersUnits);
+        customer.assumedOthersUnits += othersUnits;
+        customer.bucketUpdatedAt = now;
+    }
+
+    /// Estimated units used within the last window length through all gateways: those of the current window,
+    /// and those of the previous window in proportion to the part of it that still counts.
+    ///
+    /// For the time that no total covers, the other gateways are assumed to go on at othersUnitsPerMs.
+    /// Without that, each gateway would compare with old totals and all together would exceed the limit.
+    /// Before the first reply this leaves the gateway an even share of the quota; in an outage of the counter
+    /// it leaves what the others didn't use by the last replies.
+    double estimatedUsage(CustomerId id, const Customer &customer) const {
+        const Duration length = windowLength(planOf(customer.plan));
+        const Duration elapsed = shiftedNow(id, length) % length;
+        const CachedCount &current = customer.unitCounts.current, &previous = customer.unitCounts.previous;
+        const double unseenCurrent = customer.othersUnitsPerMs * toMs(elapsed - current.totalCovers);
+        const double unseenPrevious = customer.othersUnitsPerMs * toMs(length - previous.totalCovers);
+        return current.usage() + unseenCurrent +
+               (previous.usage() + unseenPrevious) * (1 - toMs(elapsed) / toMs(length));
+    }
+
+    /// Returns a random number in [0, 1). PCG-XSH-RR with 64 bits of state and 32 bits of output.
+    double randomFraction() {
+        const std::uint64_t old = randomState;
+        randomState = old * 6364136223846793005ull + 1442695040888963407ull;
         const auto shifted = static_cast<std::uint32_t>(((old >> 18) ^ old) >> 27);
         return std::rotr(shifted, static_cast<int>(old >> 59)) / 4294967296.0;
     }
 
-    /// A retry belongs to its first try: one that comes back past the latency target uses up quota and earns
-    /// next to nothing, and refused late it costs. So all retries of a client shall fit into the target.
-    void rateLimit(CallId id, RouteId route) {
-        const Duration most = std::min(facts.maxRetryAfter, routes[route.value].latencyTarget / kAdvice);
-        const Duration advice = spanOf(ms(most) * (1 - kJitter * chance()));
+    /// Answers a call as rate-limited, with a retry-after time where the settings allow it.
+    ///
+    /// The latency target counts from the client's first try: a retry after the target uses quota and earns
+    /// next to nothing, and one that is refused that late costs. So the time is short enough for all of a
+    /// client's retries to fit into the target.
+    void answerRateLimited(CallId id, RouteId route) {
+        const Duration maxDelay =
+            std::min(settings.maxRetryAfter, routes[route.value].latencyTarget / kRetriesPerLatencyTarget);
+        const Duration delay = fromMs(toMs(maxDelay) * (1 - kRetryAfterJitterFraction * randomFraction()));
         actions.push_back(
-            AnswerRateLimited{id, facts.maySendRetryAfter ? std::optional(advice) : std::nullopt});
-    }
-
-    // ---- 6: reports to the counter, and trust in it ----
-
-    CountName nameOf(CustomerId id, Meaning meaning, std::int64_t index) const {
-        return {mixed(mixed(id.value * 2 + (meaning == Meaning::open)) ^ static_cast<std::uint64_t>(index))};
-    }
-
-    /// Tells the counter what it has not been told. Adds are joined while a call for that name is out or the
-    /// counter fails, since it goes on working on calls that nobody waits for; none is dropped.
-    void report(CustomerId id, Meaning meaning, Count &count, Duration length, Ask ask = Ask::pass) {
-        const bool read = ask == Ask::read;
-        if (!facts.mayUseCounter || count.index < 0 || count.callOut || !(count.due || read)) return;
-        Customer &cons = customers.at(id);
-        const bool asked = ask == Ask::first || (meaning == Meaning::open && !cons.held.empty());
-        if (count.unsent == 0 && !read && !asked) return;
-        // Short of calls, a pass waits for its turn by urgency, as those in line before it do.
-        const bool waits = read || (ask == Ask::pass && !asked && !due.empty());
-        const bool may = mayCall(waits ? atOnce() / 2 : 1);
-        if (!may && count.due) list(id, cons);
-        if (!may) return;
-        count.due = false;
-        const CountName name = nameOf(id, meaning, count.index);
-        countCalls[name] = {id, meaning, count.index};
-        const Duration wait = 4 * facts.counterTimeout;  // a late answer still beats an add of unknown fate
-        actions.push_back(AddToCount{name, count.unsent, std::min(kLongest, 3 * length), wait});
-        count.calling = std::exchange(count.unsent, 0);
-        count.callOut = true;
-        if (meaning == Meaning::open) cons.heldInCall = cons.held.size();
-    }
-
-    /// Short of calls, those go first whose untold use is large beside what the customer has left.
-    double urgency(CustomerId id) const {
-        const Customer &cons = customers.at(id);
-        const Plan &plan = planOf(cons.plan);
-        if (!cons.held.empty()) return kLongest.count();
-        const double open = std::abs(cons.open.current.unsent) / std::max(1u, plan.openCap);
-        if (!limitsRate(plan)) return open;
-        const double units = std::abs(cons.units.current.unsent) + std::abs(cons.units.previous.unsent);
-        return open + units / std::max(1.0, plan.burst - estimate(id, cons));
-    }
-
-    void list(CustomerId id, Customer &cons) {
-        if (std::exchange(cons.listed, true)) return;
-        cons.held.empty() ? due.push_back(id) : due.push_front(id);
-    }
-
-    /// A refused customer reports nothing, so its totals would stand still while the other gateways go on
-    /// passing: near the quota they are read again, at most so often and only when the customer asks.
-    void refresh(CustomerId id, Customer &cons) {
-        const Plan &plan = planOf(cons.plan);
-        if (!limitsRate(plan) || cons.refilled > kNearQuota * plan.burst) return;
-        Count &current = cons.units.current, &past = cons.units.previous;
-        const Duration length = windowOf(plan);
-        if (now - current.heardAt > kRefresh) report(id, Meaning::units, current, length, Ask::read);
-        if (past.heard && past.heardFor < length) report(id, Meaning::units, past, length, Ask::read);
-    }
-
-    void reportAll(CustomerId id, Customer &cons, Ask ask = Ask::pass) {
-        const Duration length = windowOf(planOf(cons.plan));
-        for (auto at : {&Pair::current, &Pair::previous}) {
-            report(id, Meaning::units, cons.units.*at, length, ask);
-            report(id, Meaning::open, cons.open.*at, kOpenEpoch, ask);
+            AnswerRateLimited{id, settings.maySendRetryAfter ? std::optional(delay) : std::nullopt});
+    }
+
+    // ---- Requests to the counter: reports, pacing, trust ----
+
+    CountName countName(CustomerId id, CountKind kind, std::int64_t windowIndex) const {
+        return {mix64(mix64(id.value * 2 + (kind == CountKind::openTries)) ^
+                      static_cast<std::uint64_t>(windowIndex))};
+    }
+
+    /// Requests the addition of everything that was not yet added to a count, if the pace allows a request
+    /// now; else queues the customer. The reply brings the total.
+    ///
+    /// Additions accumulate while a request for the same count is in flight or the counter fails, because the
+    /// counter also works on requests whose sender has stopped waiting. None is dropped.
+    void reportCount(CustomerId id, CountKind kind, CachedCount &count, Duration length,
+                     ReportReason reason = ReportReason::change) {
+        const bool isRead = reason == ReportReason::read;
+        if (!settings.mayUseCounter || count.windowIndex < 0 || count.isRequested ||
+            !(count.needsReport || isRead))
+            return;
+        Customer &customer = customers.at(id);
+        const bool isAwaited = reason == ReportReason::firstTotals ||
+                               (kind == CountKind::openTries && !customer.heldCalls.empty());
+        if (count.unreported == 0 && !isRead && !isAwaited) return;
+        // While others are queued, a change must not be sent before theirs: it needs half a burst of tokens,
+        // or waits in the queue for its turn by urgency. Reads give way in the same manner.
+        const bool givesWay =
+            isRead || (reason == ReportReason::change && !isAwaited && !reportQueue.empty());
+        const bool maySend = tryTakeRequestTokens(givesWay ? maxRequestTokens() / 2 : 1);
+        if (!maySend && count.needsReport) enqueueReport(id, customer);
+        if (!maySend) return;
+        count.needsReport = false;
+        const CountName name = countName(id, kind, count.windowIndex);
+        counterRequests[name] = {id, kind, count.windowIndex};
+        // Longer than expected: a late reply is still better than an addition of which nobody can tell
+        // whether it was carried out.
+        const Duration timeout = 4 * settings.counterTimeout;
+        actions.push_back(
+            AddToCount{name, count.unreported, std::min(kMaxCountLifetime, 3 * length), timeout});
+        count.inRequest = std::exchange(count.unreported, 0);
+        count.isRequested = true;
+        if (kind == CountKind::openTries) customer.heldInRequest = customer.heldCalls.size();
+    }
+
+    /// Order in which queued customers are reported when there are too few requests for all, highest first:
+    /// by the unreported use in relation to what is left of the customer's quota. Held calls come before all
+    /// else.
+    double reportUrgency(CustomerId id) const {
+        const Customer &customer = customers.at(id);
+        const Plan &plan = planOf(customer.plan);
+        if (!customer.heldCalls.empty()) return kMaxCountLifetime.count();  // any value above all others
+        const double open = std::abs(customer.openCounts.current.unreported) / std::max(1u, plan.openCap);
+        if (!hasRateQuota(plan)) return open;
+        const double units = std::abs(customer.unitCounts.current.unreported) +
+                             std::abs(customer.unitCounts.previous.unreported);
+        return open + units / std::max(1.0, plan.burst - estimatedUsage(id, customer));
+    }
+
+    /// Queues the customer for a report, unless it is queued already. Customers with held calls go to the
+    /// front.
+    void enqueueReport(CustomerId id, Customer &customer) {
+        if (std::exchange(customer.isQueued, true)) return;
+        customer.heldCalls.empty() ? reportQueue.push_back(id) : reportQueue.push_front(id);
+    }
+
+    /// Reads a customer's totals again if the quota is nearly used up and they are older than
+    /// kRereadInterval. Called when the customer makes a call. A refused customer reports nothing, so without
+    /// this its totals would stand still while the other gateways go on admitting its calls.
+    void rereadTotals(CustomerId id, Customer &customer) {
+        const Plan &plan = planOf(customer.plan);
+        if (!hasRateQuota(plan) || customer.bucketLevel > kRereadBelowBurstFraction * plan.burst) return;
+        CachedCount &current = customer.unitCounts.current, &previous = customer.unitCounts.previous;
+        const Duration length = windowLength(plan);
+        if (now - current.totalReadAt > kRereadInterval)
+            reportCount(id, CountKind::units, current, length, ReportReason::read);
+        if (previous.hasTotal && previous.totalCovers < length)
+            reportCount(id, CountKind::units, previous, length, ReportReason::read);
+    }
+
+    void reportAllCounts(CustomerId id, Customer &customer, ReportReason reason = ReportReason::change) {
+        const Duration length = windowLength(planOf(customer.plan));
+        for (auto window : {&WindowPair::current, &WindowPair::previous}) {
+            reportCount(id, CountKind::units, customer.unitCounts.*window, length, reason);
+            reportCount(id, CountKind::openTries, customer.openCounts.*window, kOpenCountEpoch, reason);
         }
     }
 
-    void on(const AddToCountEnded &sum) {
-        const auto found = countCalls.find(sum.name);
-        if (found == countCalls.end()) return;
-        const auto [id, meaning, index] = found->second;
-        countCalls.erase(found);
-        const bool ok = sum.outcome == Outcome::answered;
-        learnPace(ok || sum.outcome == Outcome::errored, sum.latency);
-        const auto customer = customers.find(id);
-        if (customer == customers.end()) return;
-        Customer &cons = customer->second;
-        Count *count = (meaning == Meaning::units ? cons.units : cons.open).at(index);
+    /// Updates the cache from the counter's reply and decides the calls that waited for it.
+    void on(const AddToCountEnded &ended) {
+        const auto request = counterRequests.find(ended.name);
+        if (request == counterRequests.end()) return;
+        const auto [id, kind, windowIndex] = request->second;
+        counterRequests.erase(request);
+        const bool isAnswered = ended.outcome == Outcome::answered;
+        // An error reply shows that the counter is at work, so it doesn't slow the pace down.
+        adjustRequestRate(isAnswered || ended.outcome == Outcome::errored, ended.latency);
+        const auto found = customers.find(id);
+        if (found == customers.end()) return;
+        Customer &customer = found->second;
+        CachedCount *count =
+            (kind == CountKind::units ? customer.unitCounts : customer.openCounts).find(windowIndex);
         if (count == nullptr) return;
-        const double added = std::exchange(count->calling, 0);
-        count->callOut = false;
-        if (ok) {
-            // Answers come in call order: an add of unknown fate is in this total if it ever arrived.
-            count->confirmed += added + std::exchange(count->unknown, 0);
-            // A total below our own part has lost counts: what we know of counts until the window turns.
-            count->total = std::max(sum.total, count->confirmed);
-            count->heard = true;
-            count->heardAt = now;
-            if (meaning == Meaning::units) {
-                turn(id, cons);
-                const Duration length = windowOf(planOf(cons.plan));
-                const bool running = count == &cons.units.current;
-                count->heardFor = running ? phased(id, length) % length : length;
-                cons.refilled -= count->others() - count->booked - cons.guessed;
-                count->booked = count->others();
-                const Count &current = cons.units.current, &previous = cons.units.previous;
-                const double known = std::max(ms(current.heardFor + previous.heardFor), ms(length) / 4);
-                const double others = (current.others() + previous.others()) / known;
-                cons.othersPerMs = std::min(others, planOf(cons.plan).rate / 1000);
-                cons.known = true;
-                cons.guessed = 0;
+        const double added = std::exchange(count->inRequest, 0);
+        count->isRequested = false;
+        if (isAnswered) {
+            // The counter replies in the order of the requests, so this total includes the unconfirmed
+            // additions if they have arrived at all.
+            count->confirmed += added + std::exchange(count->unconfirmed, 0);
+            // A total below this gateway's own part means that the counter has lost additions. The own part
+            // counts in its place until the window ends.
+            count->total = std::max(ended.total, count->confirmed);
+            count->hasTotal = true;
+            count->totalReadAt = now;
+            if (kind == CountKind::units) {
+                advanceQuota(id, customer);
+                const Duration length = windowLength(planOf(customer.plan));
+                const bool isCurrent = count == &customer.unitCounts.current;
+                count->totalCovers = isCurrent ? shiftedNow(id, length) % length : length;
+                // Replaces what was assumed of the other gateways' use by what the total shows.
+                customer.bucketLevel -=
+                    count->othersUsage() - count->othersInBucket - customer.assumedOthersUnits;
+                count->othersInBucket = count->othersUsage();
+                const CachedCount &current = customer.unitCounts.current,
+                                  &previous = customer.unitCounts.previous;
+                // At least a quarter of a window, so that a few units in a short time don't give a high rate.
+                const double coveredMs =
+                    std::max(toMs(current.totalCovers + previous.totalCovers), toMs(length) / 4);
+                const double othersUnitsPerMs = (current.othersUsage() + previous.othersUsage()) / coveredMs;
+                customer.othersUnitsPerMs = std::min(othersUnitsPerMs, planOf(customer.plan).rate / 1000);
+                customer.hasTotals = true;
+                customer.assumedOthersUnits = 0;
             }
-        } else if (sum.outcome == Outcome::overloaded || sum.outcome == Outcome::connectFailed) {
-            count->unsent += added;
-            count->due = true;
+        } else if (ended.outcome == Outcome::overloaded || ended.outcome == Outcome::connectFailed) {
+            // Nothing was added.
+            count->unreported += added;
+            count->needsReport = true;
         } else {
-            count->unknown += added;
+            count->unconfirmed += added;
         }
-        if (meaning == Meaning::open && count == &cons.open.current) decideHeld(cons, ok, count->total);
-        if (!ok || !(cons.units.current.callOut || cons.units.previous.callOut)) decideAsking(id, cons);
-        reportAll(id, cons);
+        if (kind == CountKind::openTries && count == &customer.openCounts.current)
+            decideHeldCalls(customer, isAnswered, count->total);
+        if (!isAnswered ||
+            !(customer.unitCounts.current.isRequested || customer.unitCounts.previous.isRequested))
+            decideCallsAwaitingTotals(id, customer);
+        reportAllCounts(id, customer);
     }
 
-    bool trusted() const {
-        return facts.mayUseCounter && (!countFailing || now - countOkAt < 4 * facts.counterTimeout);
+    /// Whether calls may wait for the counter: it may be used, and hasn't failed for longer than four
+    /// timeouts.
+    bool isCounterTrusted() const {
+        return settings.mayUseCounter &&
+               (!isCounterFailing || now - counterAnsweredAt < 4 * settings.counterTimeout);
     }
 
-    /// Paced by what the counter takes: it works on calls that nobody waits for too, so that too many bring
-    /// less. Holds against a slow, full, silent or refusing counter and against very many gateways.
-    double part(double ofAll) const { return ofAll / facts.gatewayCount; }
-    /// However many gateways there are, each sees within a second or so that the counter is back.
-    double leastCalls() const { return std::max(kLookAgain, part(kCallsLeast)); }
-    double atOnce() const { return std::max(4.0, part(kCallsAtOnce)); }
-
-    bool mayCall(double spare, double spent = 1) {
-        callsLeft = std::min(atOnce(), callsLeft + callsASecond * ms(now - pacedAt) / 1000);
-        pacedAt = now;
-        return callsLeft >= spare && (callsLeft -= spent, true);
+    // Requests to the counter are paced by a token bucket whose rate follows the counter's latency and
+    // failures (additive increase, multiplicative decrease). The counter also works on requests whose sender
+    // has stopped waiting, so sending more than it can take would yield fewer replies. The pacing protects a
+    // slow, overloaded, silent or refusing counter, also with a very large number of gateways.
+
+    /// Even share of this gateway in a figure of all gateways together.
+    double gatewayShare(double ofAllGateways) const { return ofAllGateways / settings.gatewayCount; }
+    /// Lower bound of the rate. However many gateways there are, each of them notices within about a second
+    /// that the counter works again.
+    double minRequestsPerSecond() const {
+        return std::max(kMinRequestsPerSecondPerGateway, gatewayShare(kMinRequestsPerSecond));
+    }
+    /// Capacity of the token bucket. At least four, however many gateways there are.
+    double maxRequestTokens() const { return std::max(4.0, gatewayShare(kMaxRequestBurstCount)); }
+
+    /// Refills the token bucket and returns whether it holds `required` tokens. If so, takes `taken` of them.
+    bool tryTakeRequestTokens(double required, double taken = 1) {
+        requestTokens =
+            std::min(maxRequestTokens(),
+                     requestTokens + requestsPerSecond * toMs(now - requestTokensUpdatedAt) / 1000);
+        requestTokensUpdatedAt = now;
+        return requestTokens >= required && (requestTokens -= taken, true);
     }
 
-    void learnPace(bool ok, Duration latency) {
-        countFailing = !ok;
-        if (ok) countOkAt = now;
-        if (ok && 4 * latency < facts.counterTimeout) {
-            callsASecond = callsASecond + part(kCallsMore) / callsASecond;
-        } else if ((!ok || 2 * latency > facts.counterTimeout) && now - paceCutAt > facts.counterTimeout) {
-            callsASecond = std::max(leastCalls(), callsASecond * kCallsCut);
-            callsLeft = std::min(callsLeft, 1.0);
-            paceCutAt = now;
+    /// Adapts the rate of requests after one has ended: raises it after a reply within a quarter of the
+    /// timeout, reduces it after a failure or a reply that took over half of the timeout, at most once a
+    /// timeout.
+    void adjustRequestRate(bool hasReply, Duration latency) {
+        isCounterFailing = !hasReply;
+        if (hasReply) counterAnsweredAt = now;
+        if (hasReply && 4 * latency < settings.counterTimeout) {
+            requestsPerSecond =
+                requestsPerSecond + gatewayShare(kRequestRateIncreasePerSecond) / requestsPerSecond;
+        } else if ((!hasReply || 2 * latency > settings.counterTimeout) &&
+                   now - requestRateReducedAt > settings.counterTimeout) {
+            requestsPerSecond = std::max(minRequestsPerSecond(), requestsPerSecond * kRequestRateCutFactor);
+            requestTokens = std::min(requestTokens, 1.0);
+            requestRateReducedAt = now;
         }
     }
 
-    // ---- 5: guards for ceilings and open caps ----
+    // ---- Hard bounds: ceilings and caps on open tries ----
 
-    /// Each gateway owns an even part, empty at its start: a restart can't refill what it had spent.
-    bool underCeiling(Customer &cons, double units) {
-        const Plan &plan = planOf(cons.plan);
+    /// Decides whether this gateway's share of the customer's ceiling has room for a call, without taking the
+    /// units. The share is an even part of the ceiling, in a bucket that is empty when the gateway starts, so
+    /// that a restart can't give back what was spent before.
+    bool ceilingAdmits(Customer &customer, double units) {
+        const Plan &plan = planOf(customer.plan);
         if (plan.ceilingRate <= 0) return true;
-        const double filled = plan.ceilingRate / cons.gateways * ms(now - cons.ceilingAt) / 1000;
-        cons.ceilingLeft = std::min(plan.ceilingBurst / cons.gateways, cons.ceilingLeft + filled);
-        cons.ceilingAt = now;
-        return cons.ceilingLeft >= units;
+        const double refill =
+            plan.ceilingRate / customer.subsetSize * toMs(now - customer.ceilingUpdatedAt) / 1000;
+        customer.ceilingLevel =
+            std::min(plan.ceilingBurst / customer.subsetSize, customer.ceilingLevel + refill);
+        customer.ceilingUpdatedAt = now;
+        return customer.ceilingLevel >= units;
     }
 
-    /// An even part of the cap; a part under one is kept by rests, as one each would be far too many.
-    unsigned openShare(const Customer &cons) const {
-        return now < cons.openRest ? 0 : std::max(1u, planOf(cons.plan).openCap / cons.gateways);
+    /// Number of open tries that this gateway allows a customer without the counter: an even share of the
+    /// open cap. Where the share is below one, the gateway allows one try and then pauses in proportion (see
+    /// countOpenTry()), because one try at each gateway at all times would exceed the cap by far.
+    unsigned openCapShare(const Customer &customer) const {
+        return now < customer.openShareRestsUntil
+                   ? 0
+                   : std::max(1u, planOf(customer.plan).openCap / customer.subsetSize);
     }
 
-    bool nearCap(const Customer &cons) const {
-        return cons.fullAt != Timestamp{} && now - cons.fullAt < kFullFor;
+    bool wasCapRecentlyFull(const Customer &customer) const {
+        return customer.capFullAt != Timestamp{} && now - customer.capFullAt < kCapFullPeriod;
     }
 
-    /// Tries end soon: what the others had open when a total was heard fades with the usual latency.
-    double stillOpen(const Count &count) const {
-        return count.others() * std::exp(-ms(now - count.heardAt) / usual / 3);
+    /// Estimates how many of the other gateways' tries in a total are still open. Tries end soon, so the
+    /// number decays exponentially from the time of the total, with a time constant of three usual latencies.
+    double othersStillOpen(const CachedCount &count) const {
+        return count.othersUsage() * std::exp(-toMs(now - count.totalReadAt) / usualLatencyMs / 3);
     }
 
-    bool underCap(CustomerId id, Customer &cons) {
-        const Plan &plan = planOf(cons.plan);
+    /// Decides whether the customer's cap on open tries may have room for one more. After the cap was
+    /// recently full only this gateway's own tries are compared here: a trusted counter then decides the call
+    /// while it is held, and without one the gateway keeps to its share.
+    bool openCapAdmits(CustomerId id, Customer &customer) {
+        const Plan &plan = planOf(customer.plan);
         if (plan.openCap == 0) return true;
-        cons.open.turnTo(phased(id, kOpenEpoch) / kOpenEpoch);
-        const double others = stillOpen(cons.open.current) + stillOpen(cons.open.previous);
-        const double most = trusted() || !nearCap(cons) ? plan.openCap : openShare(cons);
-        const bool room = cons.openHere + (nearCap(cons) ? 0 : others) < most;
-        if (!room) cons.fullAt = now;
-        return room;
-    }
-
-    void decideHeld(Customer &cons, bool ok, double total) {
-        if (!ok) cons.heldInCall = cons.held.size();
-        const double cap = planOf(cons.plan).openCap, most = ok ? cap : openShare(cons);
-        double open = ok ? total + stillOpen(cons.open.previous) - static_cast<double>(cons.heldInCall)
-                         : cons.openHere - static_cast<double>(cons.held.size());
-        if (total >= cap) cons.fullAt = now;
-        const auto last = cons.held.begin() + static_cast<std::ptrdiff_t>(cons.heldInCall);
-        const std::vector<CallId> counted(cons.held.begin(), last);
-        cons.held.erase(cons.held.begin(), last);
-        cons.heldInCall = 0;
-        for (const CallId id : counted) {
-            Call &rq = calls.at(id);
-            if (!rq.closed && ++open <= most) {
-                start(id, rq, cons);
+        customer.openCounts.advanceTo(shiftedNow(id, kOpenCountEpoch) / kOpenCountEpoch);
+        const double others =
+            othersStillOpen(customer.openCounts.current) + othersStillOpen(customer.openCounts.previous);
+        const double limit =
+            isCounterTrusted() || !wasCapRecentlyFull(customer) ? plan.openCap : openCapShare(customer);
+        const bool hasRoom = customer.ownOpenTries + (wasCapRecentlyFull(customer) ? 0 : others) < limit;
+        if (!hasRoom) customer.capFullAt = now;
+        return hasRoom;
+    }
+
+    /// Decides the held calls that the counter's reply covers: with `total`, the number of open tries in the
+    /// reply, against the whole cap. Without a reply decides all held calls, against this gateway's share.
+    void decideHeldCalls(Customer &customer, bool hasReply, double total) {
+        if (!hasReply) customer.heldInRequest = customer.heldCalls.size();
+        const double cap = planOf(customer.plan).openCap;
+        const double limit = hasReply ? cap : openCapShare(customer);
+        // Tries that are open apart from the held calls, which are included in the total and in ownOpenTries.
+        double open = hasReply ? total + othersStillOpen(customer.openCounts.previous) -
+                                     static_cast<double>(customer.heldInRequest)
+                               : customer.ownOpenTries - static_cast<double>(customer.heldCalls.size());
+        if (total >= cap) customer.capFullAt = now;
+        const auto end = customer.heldCalls.begin() + static_cast<std::ptrdiff_t>(customer.heldInRequest);
+        const std::vector<CallId> decided(customer.heldCalls.begin(), end);
+        customer.heldCalls.erase(customer.heldCalls.begin(), end);
+        customer.heldInRequest = 0;
+        for (const CallId id : decided) {
+            Call &call = calls.at(id);
+            if (!call.isClosed && ++open <= limit) {
+                sendFirstTry(id, call, customer);
             } else {
-                countOpen(rq, -1);
-                if (!rq.closed) rateLimit(id, rq.route);
+                countOpenTry(call, -1);
+                if (!call.isClosed) answerRateLimited(id, call.route);
                 calls.erase(id);
             }
         }
     }
 
-    /// Before its first reply a gateway may pass a share of the limit, one call at least: in a large set that
-    /// is a multiple of the limit. Where the share is under this call, and no total of either window is
-    /// known, the call waits for the totals once, as an isolate does for its first read; then the cache
-    /// decides.
-    bool asksFirst(const Customer &cons, const CallReceived &rq) const {
-        const Plan &plan = planOf(rq.plan);
-        const bool cold = !cons.units.current.heard && !cons.units.previous.heard;
-        return limitsRate(plan) && plan.openCap == 0 && cold && plan.burst / cons.gateways < 1 && trusted() &&
-               rq.timeRemaining > 4 * facts.counterTimeout;
-    }
-
-    void ask(CustomerId id, Customer &cons, Call &rq) {
-        const Duration length = windowOf(planOf(cons.plan));
-        cons.asking.push_back(rq.call);
-        rq.held = true;
-        cons.units.current.unsent += rq.units;
-        cons.units.current.due = true;
-        report(id, Meaning::units, cons.units.current, length, Ask::first);
-        if (!cons.units.current.callOut) return decideAsking(id, cons);
-        report(id, Meaning::units, cons.units.previous, length, Ask::read);
-    }
-
-    void decideAsking(CustomerId id, Customer &cons) {
-        const auto asking = std::exchange(cons.asking, {});
-        if (asking.empty()) return;
-        for (const CallId one : asking) cons.units.current.unsent -= calls.at(one).units;
-        cons.units.current.due = true;
-        for (const CallId one : asking) {
-            Call &rq = calls.at(one);
-            rq.held = false;
-            if (!rq.closed && admits(id, cons, rq.units)) {
-                start(one, rq, cons);
+    /// Whether a call waits for the customer's first totals before its quota is compared.
+    ///
+    /// Before its first reply a gateway admits its even share of the limit, but at least one call. Where many
+    /// gateways serve a customer and the share is below one unit, that adds up to a multiple of the limit.
+    /// The call then waits once, as the published design does for the first read of a process; later calls
+    /// are decided from the cache.
+    bool needsFirstTotals(const Customer &customer, const CallReceived &received) const {
+        const Plan &plan = planOf(received.plan);
+        const bool isUnknown =
+            !customer.unitCounts.current.hasTotal && !customer.unitCounts.previous.hasTotal;
+        return hasRateQuota(plan) && plan.openCap == 0 && isUnknown && plan.burst / customer.subsetSize < 1 &&
+               isCounterTrusted() && received.timeRemaining > 4 * settings.counterTimeout;
+    }
+
+    /// Holds a call until the customer's first totals arrive, and requests them. The request adds the call's
+    /// units already; decideCallsAwaitingTotals() takes them back.
+    void requestFirstTotals(CustomerId id, Customer &customer, Call &call) {
+        const Duration length = windowLength(planOf(customer.plan));
+        customer.callsAwaitingTotals.push_back(call.call);
+        call.isHeld = true;
+        customer.unitCounts.current.unreported += call.units;
+        customer.unitCounts.current.needsReport = true;
+        reportCount(id, CountKind::units, customer.unitCounts.current, length, ReportReason::firstTotals);
+        if (!customer.unitCounts.current.isRequested) return decideCallsAwaitingTotals(id, customer);
+        reportCount(id, CountKind::units, customer.unitCounts.previous, length, ReportReason::read);
+    }
+
+    /// Decides the calls that wait for first totals, from the cache as it is now.
+    void decideCallsAwaitingTotals(CustomerId id, Customer &customer) {
+        const auto waiting = std::exchange(customer.callsAwaitingTotals, {});
+        if (waiting.empty()) return;
+        // requestFirstTotals() has added these units. sendFirstTry() adds them again for each admitted call.
+        for (const CallId callId : waiting) customer.unitCounts.current.unreported -= calls.at(callId).units;
+        customer.unitCounts.current.needsReport = true;
+        for (const CallId callId : waiting) {
+            Call &call = calls.at(callId);
+            call.isHeld = false;
+            if (!call.isClosed && quotaAdmits(id, customer, call.units)) {
+                sendFirstTry(callId, call, customer);
             } else {
-                if (!rq.closed) rateLimit(one, rq.route);
-                calls.erase(one);
+                if (!call.isClosed) answerRateLimited(callId, call.route);
+                calls.erase(callId);
             }
         }
     }
 
-    void countOpen(Call &rq, int step) {
-        const auto found = customers.find(rq.customer);
-        if (found == customers.end() || planOf(rq.plan).openCap == 0) return;
-        Customer &cons = found->second;
-        cons.open.turnTo(phased(rq.customer, kOpenEpoch) / kOpenEpoch);
-        cons.openHere = std::max(0, cons.openHere + step);
-        const double part = static_cast<double>(planOf(rq.plan).openCap) / cons.gateways;
-        if (step > 0) rq.openEpoch = cons.open.current.index;
-        if (step < 0) cons.openRest = now + spanOf(std::max(0.0, 1 / part - 1) * usual);
-        if (Count *count = cons.open.at(rq.openEpoch)) {
-            count->unsent += step;
-            count->due = true;
-            report(rq.customer, Meaning::open, *count, kOpenEpoch);
+    /// Counts the try of a call as open (`change` is 1) or no longer open (-1) if the plan has a cap, here
+    /// and at the counter. A try is taken off the count of the epoch in which it was added.
+    void countOpenTry(Call &call, int change) {
+        const auto found = customers.find(call.customer);
+        if (found == customers.end() || planOf(call.plan).openCap == 0) return;
+        Customer &customer = found->second;
+        customer.openCounts.advanceTo(shiftedNow(call.customer, kOpenCountEpoch) / kOpenCountEpoch);
+        customer.ownOpenTries = std::max(0, customer.ownOpenTries + change);
+        const double share = static_cast<double>(planOf(call.plan).openCap) / customer.subsetSize;
+        if (change > 0) call.openEpoch = customer.openCounts.current.windowIndex;
+        // With a share below one, the pause makes the average number of open tries equal to the share.
+        if (change < 0)
+            customer.openShareRestsUntil = now + fromMs(std::max(0.0, 1 / share - 1) * usualLatencyMs);
+        if (CachedCount *count = customer.openCounts.find(call.openEpoch)) {
+            count->unreported += change;
+            count->needsReport = true;
+            reportCount(call.customer, CountKind::openTries, *count, kOpenCountEpoch);
         }
     }
 
     // ---- API calls and upstream tries ----
 
-    void on(const CallReceived &taken) {
-        if (calls.contains(taken.call)) return;
-        if (taken.route.value >= routes.size()) return actions.push_back(AnswerErrored{taken.call});
-        Customer &cons = customerOf(taken);
-        turn(taken.customer, cons);
-        const bool asks = asksFirst(cons, taken);
-        if ((!asks && !admits(taken.customer, cons, taken.units)) || !underCap(taken.customer, cons) ||
-            !underCeiling(cons, taken.units)) {
-            rateLimit(taken.call, taken.route);
-            refresh(taken.customer, cons);
+    /// Admits a call and sends it, holds it until the counter replies, or answers it as rate-limited.
+    void on(const CallReceived &received) {
+        if (calls.contains(received.call)) return;
+        if (received.route.value >= routes.size()) return actions.push_back(AnswerErrored{received.call});
+        Customer &customer = customerOf(received);
+        advanceQuota(received.customer, customer);
+        const bool awaitsTotals = needsFirstTotals(customer, received);
+        if ((!awaitsTotals && !quotaAdmits(received.customer, customer, received.units)) ||
+            !openCapAdmits(received.customer, customer) || !ceilingAdmits(customer, received.units)) {
+            answerRateLimited(received.call, received.route);
+            rereadTotals(received.customer, customer);
             return;
         }
-        Call &rq = calls[taken.call] = {taken, now, now + taken.timeRemaining};
-        if (asks) return ask(taken.customer, cons, rq);
-        // With the cap lately full any cache is too old: the try is counted first and held for the answer. So
-        // is a total older than a try lasts, where an even share of the cap would be under one.
-        const Count &open = cons.open.current;
-        const bool old = planOf(rq.plan).openCap < cons.gateways && ms(now - open.heardAt) > usual;
-        rq.held = planOf(rq.plan).openCap > 0 && (nearCap(cons) || old) && trusted() &&
-                  taken.timeRemaining > 4 * facts.counterTimeout;
-        if (!rq.held) return start(taken.call, rq, cons);
-        list(taken.customer, cons);
-        cons.held.push_back(taken.call);
-        countOpen(rq, 1);
-        if (!cons.open.current.callOut) decideHeld(cons, false, 0);
-    }
-
-    void start(CallId id, Call &rq, Customer &cons) {
-        worths.add(worthOf(rq));
-        const auto worker = underCeiling(cons, rq.units) ? pick(rq) : std::nullopt;
+        Call &call = calls[received.call] = {received, now, now + received.timeRemaining};
+        if (awaitsTotals) return requestFirstTotals(received.customer, customer, call);
+        // After the open cap was recently full, any cached total is too old to decide. So is one that is
+        // older than a usual try where an even share of the cap is below one. The try is then counted first,
+        // and the call held for the counter's reply.
+        const CachedCount &open = customer.openCounts.current;
+        const bool isTotalTooOld =
+            planOf(call.plan).openCap < customer.subsetSize && toMs(now - open.totalReadAt) > usualLatencyMs;
+        call.isHeld = planOf(call.plan).openCap > 0 && (wasCapRecentlyFull(customer) || isTotalTooOld) &&
+                      isCounterTrusted() && received.timeRemaining > 4 * settings.counterTimeout;
+        if (!call.isHeld) return sendFirstTry(received.call, call, customer);
+        enqueueReport(received.customer, customer);
+        customer.heldCalls.push_back(received.call);
+        countOpenTry(call, 1);
+        if (!customer.openCounts.current.isRequested) decideHeldCalls(customer, false, 0);
+    }
+
+    /// Sends an admitted call to a worker and takes its units from quota and ceiling. Gives the call up if no
+    /// worker can take it, or if the ceiling has no room any more after the call was held.
+    void sendFirstTry(CallId id, Call &call, Customer &customer) {
+        recentValuesPerMs.add(valuePerMs(call));
+        const auto worker = ceilingAdmits(customer, call.units) ? pickWorker(call) : std::nullopt;
         if (!worker) {
-            if (rq.held) countOpen(rq, -1);
-            return finish(id, rq);
+            if (call.isHeld) countOpenTry(call, -1);
+            return giveUp(id, call);
         }
-        cons.ceilingLeft -= rq.units;
-        send(id, rq, *worker);
-        if (!limitsRate(planOf(cons.plan))) return;
-        cons.refilled -= rq.units;
-        cons.units.current.unsent += rq.units;
-        cons.units.current.due = true;
-        report(rq.customer, Meaning::units, cons.units.current, windowOf(planOf(cons.plan)));
-        refresh(rq.customer, cons);
-    }
-
-    void send(CallId id, Call &rq, WorkerId to) {
-        Worker &worker = workers.at(to);
-        ++worker.out;
-        ++rq.tries;
-        sendGaps.add(ms(now - std::exchange(sentLast, now)));
-        rq.out = true;
-        rq.calledOff = false;
-        rq.worker = to;
-        rq.sentAt = now;
-        actions.push_back(SendTry{id, to, rq.until});
-        if (!std::exchange(rq.held, false)) countOpen(rq, 1);
+        customer.ceilingLevel -= call.units;
+        sendTry(id, call, *worker);
+        if (!hasRateQuota(planOf(customer.plan))) return;
+        customer.bucketLevel -= call.units;
+        customer.unitCounts.current.unreported += call.units;
+        customer.unitCounts.current.needsReport = true;
+        reportCount(call.customer, CountKind::units, customer.unitCounts.current,
+                    windowLength(planOf(customer.plan)));
+        rereadTotals(call.customer, customer);
     }
 
+    void sendTry(CallId id, Call &call, WorkerId workerId) {
+        Worker &worker = workers.at(workerId);
+        ++worker.triesInFlight;
+        ++call.triesSent;
+        recentSendGapsMs.add(toMs(now - std::exchange(lastTrySentAt, now)));
+        call.hasTryInFlight = true;
+        call.isTryCancelled = false;
+        call.lastWorker = workerId;
+        call.sentAt = now;
+        actions.push_back(SendTry{id, workerId, call.deadline});
+        // The try of a held call is counted as open already.
+        if (!std::exchange(call.isHeld, false)) countOpenTry(call, 1);
+    }
+
+    /// Records the outcome of a try. If the call still has no final answer, it goes through the retry queue,
+    /// which retries it or gives it up.
     void on(const TryEnded &ended) {
-        const auto at = workers.find(ended.worker);
-        if (at != workers.end()) learn(at->second, ended);
+        const auto worker = workers.find(ended.worker);
+        if (worker != workers.end()) recordOutcome(worker->second, ended);
         const auto found = calls.find(ended.call);
-        if (found == calls.end() || !found->second.out) return;
-        Call &rq = found->second;
-        rq.out = false;
+        if (found == calls.end() || !found->second.hasTryInFlight) return;
+        Call &call = found->second;
+        call.hasTryInFlight = false;
         const bool neverRan = ended.outcome == Outcome::overloaded ||
                               ended.outcome == Outcome::connectFailed || ended.outcome == Outcome::notSent;
-        if (at != workers.end()) at->second.out = std::max(0, at->second.out - 1);
-        if (at != workers.end() && !neverRan && !std::exchange(rq.mayHaveRun, true)) {
-            rq.maybeRanFrom = rq.sentAt;
-            rq.maybeRanAt = at->second.entry;
+        if (worker != workers.end())
+            worker->second.triesInFlight = std::max(0, worker->second.triesInFlight - 1);
+        if (worker != workers.end() && !neverRan && !std::exchange(call.mayHaveRun, true)) {
+            call.mayHaveRunSince = call.sentAt;
+            call.mayHaveRunOn = worker->second.entry;
         }
-        countOpen(rq, -1);
-        if (ended.actualUnits) settle(rq, *ended.actualUnits - rq.units);
-        if (!rq.closed && !ended.isCallClosed) line.push_back(ended.call);
-        if (rq.closed || ended.isCallClosed) calls.erase(found);
-        serveLine();
+        countOpenTry(call, -1);
+        if (ended.actualUnits) correctUnits(call, *ended.actualUnits - call.units);
+        if (!call.isClosed && !ended.isCallClosed) retryQueue.push_back(ended.call);
+        if (call.isClosed || ended.isCallClosed) calls.erase(found);
+        serveRetryQueue();
     }
 
-    /// Guessed units are put right in the estimate at once, and at the counter with the next add.
-    void settle(const Call &rq, double more) {
-        const auto found = customers.find(rq.customer);
-        if (found == customers.end() || !limitsRate(planOf(rq.plan))) return;
-        turn(rq.customer, found->second);
-        found->second.refilled -= more;
-        found->second.units.current.unsent += more;
+    /// Corrects the units of a call whose actual cost became known by `difference`: in the estimate at once,
+    /// at the counter with the next addition.
+    void correctUnits(const Call &call, double difference) {
+        const auto found = customers.find(call.customer);
+        if (found == customers.end() || !hasRateQuota(planOf(call.plan))) return;
+        advanceQuota(call.customer, found->second);
+        found->second.bucketLevel -= difference;
+        found->second.unitCounts.current.unreported += difference;
     }
 
-    void on(const TryStreamStarted &flowing) {  // the stream is the client's: no call off, no answer
-        if (const auto found = calls.find(flowing.call); found != calls.end()) found->second.closed = true;
+    /// The reply belongs to the client from here on, so the call is neither cancelled nor answered.
+    void on(const TryStreamStarted &started) {
+        if (const auto found = calls.find(started.call); found != calls.end()) found->second.isClosed = true;
     }
 
-    void on(const CallAbandoned &gone) {
-        const auto found = calls.find(gone.call);
-        if (found == calls.end() || std::exchange(found->second.closed, true)) return;
-        const Call &rq = found->second;
-        const auto last = static_cast<std::uint8_t>(rq.tries - 1);
-        if (rq.out && facts.mayCancel) actions.push_back(CancelTry{gone.call, {last}});
-        if (!rq.out && !rq.held) calls.erase(found);
+    /// Cancels the call's try if that is allowed. A call that is held stays until the counter's reply, one
+    /// whose try is in flight until the try ends.
+    void on(const CallAbandoned &abandoned) {
+        const auto found = calls.find(abandoned.call);
+        if (found == calls.end() || std::exchange(found->second.isClosed, true)) return;
+        const Call &call = found->second;
+        const auto lastTry = static_cast<std::uint8_t>(call.triesSent - 1);
+        if (call.hasTryInFlight && settings.mayCancel)
+            actions.push_back(CancelTry{abandoned.call, {lastTry}});
+        if (!call.hasTryInFlight && !call.isHeld) calls.erase(found);
     }
 
-    /// The final answer, given as soon as nothing more will be tried.
-    void finish(CallId id, const Call &rq) {
-        const RouteRow &row = routes[rq.route.value];
-        const bool anywhere = row.effect == Effect::idempotent || row.dedupScope == DedupScope::all;
-        const bool harmless = mayRunAgain(rq) && (!rq.mayHaveRun || anywhere);
-        harmless ? rateLimit(id, rq.route) : actions.push_back(AnswerErrored{id});
+    /// Gives the final answer of a call that isn't tried again, as soon as that is certain. It is
+    /// rate-limited, which promises the client that repeating the call does no harm, wherever that holds;
+    /// else errored.
+    void giveUp(CallId id, const Call &call) {
+        const RouteState &route = routes[call.route.value];
+        // The client's repeat may reach any worker.
+        const bool isSafeAnywhere = route.effect == Effect::idempotent || route.dedupScope == DedupScope::all;
+        const bool isRepeatHarmless = isRepeatSafe(call) && (!call.mayHaveRun || isSafeAnywhere);
+        isRepeatHarmless ? answerRateLimited(id, call.route) : actions.push_back(AnswerErrored{id});
         calls.erase(id);
     }
 
-    // ---- 4: the line of further tries ----
-
-    /// What no worker has seen is given up in the first half of its time: later it costs the client more.
-    bool mayTryAgain(const Call &rq) const {
-        const Timestamp latest =
-            rq.mayHaveRun ? rq.until - 2 * kTick : rq.taken + rq.timeRemaining / 2 - 2 * kTick;
-        return rq.tries < facts.maxTries && mayRunAgain(rq) &&
-               now < std::min(rq.taken + routes[rq.route.value].latencyTarget, latest);
+    // ---- Retry queue ----
+
+    /// Whether there is time for another try and the route allows one. A call that no worker has run is given
+    /// up after the first half of its time, because a later refusal costs the client more. The margin of two
+    /// ticks keeps the answer in time although the queue is served once a tick only.
+    bool mayRetry(const Call &call) const {
+        const Timestamp latest = call.mayHaveRun
+                                     ? call.deadline - 2 * kTickInterval
+                                     : call.receivedAt + call.timeRemaining / 2 - 2 * kTickInterval;
+        return call.triesSent < settings.maxTries && isRepeatSafe(call) &&
+               now < std::min(call.receivedAt + routes[call.route.value].latencyTarget, latest);
     }
 
-    bool mayRunAgain(const Call &rq) const {
-        const RouteRow &row = routes[rq.route.value];
-        const bool dropped = row.effect == Effect::tokened && now < rq.maybeRanFrom + row.dedupWindow;
-        return !rq.mayHaveRun || row.effect == Effect::idempotent || dropped;
+    /// Whether another try does no harm: the call hasn't run, or is idempotent, or workers still recognize
+    /// the repeat of a tokened call.
+    bool isRepeatSafe(const Call &call) const {
+        const RouteState &route = routes[call.route.value];
+        const bool isRecognized =
+            route.effect == Effect::tokened && now < call.mayHaveRunSince + route.dedupWindow;
+        return !call.mayHaveRun || route.effect == Effect::idempotent || isRecognized;
     }
 
-    bool once(const Call &rq) const { return routes[rq.route.value].effect == Effect::nonIdempotent; }
+    bool isNonIdempotent(const Call &call) const {
+        return routes[call.route.value].effect == Effect::nonIdempotent;
+    }
 
-    bool inScope(const Call &rq, const Worker &worker) const {
-        const RouteRow &row = routes[rq.route.value];
-        if (!rq.mayHaveRun || row.effect != Effect::tokened || row.dedupScope == DedupScope::all) return true;
-        return row.dedupScope == DedupScope::zone ? worker.entry.zone == rq.maybeRanAt.zone
-                                                  : worker.entry.group == rq.maybeRanAt.group;
+    /// Whether a worker would recognize a repeat of the call if it has run, or needn't.
+    bool isInDedupScope(const Call &call, const Worker &worker) const {
+        const RouteState &route = routes[call.route.value];
+        if (!call.mayHaveRun || route.effect != Effect::tokened || route.dedupScope == DedupScope::all)
+            return true;
+        return route.dedupScope == DedupScope::zone ? worker.entry.zone == call.mayHaveRunOn.zone
+                                                    : worker.entry.group == call.mayHaveRunOn.group;
     }
 
-    void serveLine() {
-        for (std::size_t waiting = line.size(); waiting > 0; --waiting) {
-            const CallId id = line.front();
-            line.pop_front();
+    /// Retries each queued call for which there is a worker, and gives up those that may not be tried again.
+    /// The others stay queued.
+    void serveRetryQueue() {
+        for (std::size_t remaining = retryQueue.size(); remaining > 0; --remaining) {
+            const CallId id = retryQueue.front();
+            retryQueue.pop_front();
             const auto found = calls.find(id);
             if (found == calls.end()) continue;
-            Call &rq = found->second;
-            if (!mayTryAgain(rq)) {
-                finish(id, rq);
-            } else if (const auto worker = pick(rq)) {
-                send(id, rq, *worker);
+            Call &call = found->second;
+            if (!mayRetry(call)) {
+                giveUp(id, call);
+            } else if (const auto worker = pickWorker(call)) {
+                sendTry(id, call, *worker);
             } else {
-                line.push_back(id);
+                retryQueue.push_back(id);
             }
         }
     }
 
-    // ---- 1: ranked fill ----
+    // ---- Load balancing ----
 
-    /// Where workers are pressed the calls that earn less for the time they take give way first.
-    double worthOf(const Call &rq) const {
-        const RouteRow &row = routes[rq.route.value];
-        return row.billedValue * planOf(rq.plan).price / row.work.mean(kLateAt * ms(row.latencyTarget));
+    /// Billed value of a call for each millisecond of worker time. While workers are busy, calls with a lower
+    /// value give way first.
+    double valuePerMs(const Call &call) const {
+        const RouteState &route = routes[call.route.value];
+        return route.billedValue * planOf(call.plan).price /
+               route.serviceTimesMs.mean(kSlowLatencyFraction * toMs(route.latencyTarget));
     }
 
-    std::optional<WorkerId> pick(const Call &rq) {
-        if (orderOld) rerank();
-        // By chance, so that calls which give way keep that part of the others' odds, however long it lasts.
-        const double part = chance() < std::max(kCheapPart, worthOf(rq) / worths.mean(1)) ? 1 : kCheapPart;
-        for (const bool beyondShare : {false, true}) {
-            for (const Worker *worker : ranked) {
+    /// Returns the worker for the next try of a call, or nullopt if none can take one now.
+    ///
+    /// Takes the first ranked worker that isn't ejected, has room within its concurrency limit, and may run
+    /// the call. A first pass takes only workers below their spreadLimit, so that the tries between two
+    /// rankings spread over the workers; a second pass lifts that.
+    std::optional<WorkerId> pickWorker(const Call &call) {
+        if (isRankingStale) rankWorkers();
+        // A call of less than average value may fill only a part of each worker's limit, but with a
+        // probability of at least kLowValueLimitFraction it may fill all of it. Because this is decided at
+        // random, calls of low value keep that part of the others' chances however long the overload lasts.
+        const double usableFraction =
+            randomFraction() < std::max(kLowValueLimitFraction, valuePerMs(call) / recentValuesPerMs.mean(1))
+                ? 1
+                : kLowValueLimitFraction;
+        for (const bool isSecondPass : {false, true}) {
+            for (const Worker *worker : rankedWorkers) {
                 const WorkerId id = worker->entry.worker;
-                const Timestamp barred =
-                    std::max(worker->barredUntil, worker->health[rq.route.value].barredUntil);
-                if (now < barred) continue;
-                if (!beyondShare && worker->out >= worker->share) continue;
-                const bool again = rq.tries > 0 && rq.worker == id && ranked.size() > 1;
-                const bool trial = onTrial(*worker, rq.route);
-                if (again || (trial && once(rq) && now < barred + kBack) || !inScope(rq, *worker)) continue;
-                // A limit under one is kept by rests: so many gateways with one try each would be too many.
-                const double limit = std::min(trial ? 1 : limitOf(*worker), coldLimit(*worker)) * part;
-                const double rest = (1 / std::max(1e-3, limit) - 1) * usual;
-                const bool rested = worker->endedAt == Timestamp{} || ms(now - worker->endedAt) >= rest;
-                if (worker->out < limit && rested) return id;
+                const Timestamp ejectedUntil =
+                    std::max(worker->ejectedUntil, worker->healthByRoute[call.route.value].ejectedUntil);
+                if (now < ejectedUntil) continue;
+                if (!isSecondPass && worker->triesInFlight >= worker->spreadLimit) continue;
+                const bool isSameAgain =
+                    call.triesSent > 0 && call.lastWorker == id && rankedWorkers.size() > 1;
+                const bool isProbation = isOnProbation(*worker, call.route);
+                if (isSameAgain ||
+                    (isProbation && isNonIdempotent(call) &&
+                     now < ejectedUntil + kNonIdempotentReturnDelay) ||
+                    !isInDedupScope(call, *worker))
+                    continue;
+                // A limit below one is kept by a pause after each try: one try of each gateway at all times
+                // would be too many.
+                const double limit =
+                    std::min(isProbation ? 1 : ownConcurrencyLimit(*worker), warmUpLimit(*worker)) *
+                    usableFraction;
+                const double pauseMs = (1 / std::max(1e-3, limit) - 1) * usualLatencyMs;
+                const bool hasPaused =
+                    worker->lastReplyAt == Timestamp{} || toMs(now - worker->lastReplyAt) >= pauseMs;
+                if (worker->triesInFlight < limit && hasPaused) return id;
             }
         }
         return std::nullopt;
     }
 
-    /// Each gateway has an order of its own, its zone first, and uses about as many workers as it makes
-    /// sends a second: so it hears of each often, and all parts together cover the fleet.
-    void reorder() {
-        order.clear();
+    /// Rebuilds readyWorkers after the list of workers changed: workers of this gateway's zone first, then by
+    /// a hash of gateway and worker. Each gateway thus has an order of its own and uses its first workers,
+    /// about as many as it sends tries a second (see wantedWorkerCount()). So it gets a recent result of each
+    /// of them, and all gateways together cover the fleet.
+    void rebuildWorkerOrder() {
+        readyWorkers.clear();
         for (auto &[id, worker] : workers)
-            if (worker.entry.state == WorkerState::ready) order.push_back(&worker);
-        const auto place = [this](const Worker *worker) {
-            const std::uint64_t own = mixed(mixed(facts.gatewayIndex.value + 1) ^ worker->entry.worker.value);
-            return std::pair(worker->entry.zone != facts.zone, own);
+            if (worker.entry.state == WorkerState::ready) readyWorkers.push_back(&worker);
+        const auto position = [this](const Worker *worker) {
+            const std::uint64_t hash =
+                mix64(mix64(settings.gatewayIndex.value + 1) ^ worker->entry.worker.value);
+            return std::pair(worker->entry.zone != settings.zone, hash);
         };
-        std::ranges::stable_sort(order, {}, place);
-        rerank();
-    }
-
-    double wanted() const { return std::max(kFewest, 1000 / std::max(1e-3, sendGaps.mean(1000))); }
-
-    /// Of a warm worker. As most of the fleet turns cold each of the others gets more gateways at once, so a
-    /// limit is kept as that of all together.
-    double users() const { return facts.gatewayCount * std::min(1.0, wanted() / std::max<double>(1, warm)); }
-
-    double limitOf(const Worker &worker) const { return worker.limit / users(); }
-
-    void rerank() {
-        ranked.clear();
-        std::size_t well = 0;
-        warm = std::ranges::count_if(order, [this](const Worker *worker) { return !cold(*worker); });
-        const double most = wanted();
-        for (Worker *worker : order) {
-            const bool turn = cold(*worker) && coldLimit(*worker) >= 1;
-            if (static_cast<double>(well) >= most && !turn) continue;
-            ranked.push_back(worker);
-            well +=
-                now >= worker->barredUntil && !cold(*worker) && std::ranges::none_of(worker->health, failing);
-            const double slow = std::clamp(worker->slowness.mean(1), 0.25, 4.0);
-            worker->key = slow * (1 + worker->out) + (worker->entry.zone == facts.zone ? 0 : kCrossing);
-            worker->share = worker->out + 1;
+        std::ranges::stable_sort(readyWorkers, {}, position);
+        rankWorkers();
+    }
+
+    /// Number of healthy warm workers that this gateway uses: the number of tries that it sends a second.
+    double wantedWorkerCount() const {
+        return std::max(kMinWorkersPerGatewayCount, 1000 / std::max(1e-3, recentSendGapsMs.mean(1000)));
+    }
+
+    /// Estimated number of gateways that use the same warm worker. When most of the fleet turns cold, each of
+    /// the remaining workers is used by more gateways at once. Concurrency limits are therefore kept for all
+    /// gateways together and divided by this number.
+    double gatewaysPerWorker() const {
+        return settings.gatewayCount *
+               std::min(1.0, wantedWorkerCount() / std::max<double>(1, warmWorkerCount));
+    }
+
+    /// This gateway's part of a warm worker's concurrency limit. May be below one.
+    double ownConcurrencyLimit(const Worker &worker) const {
+        return worker.concurrencyLimit / gatewaysPerWorker();
+    }
+
+    /// Chooses the workers in use and ranks them by their expected latency. Updates all that depends on it:
+    /// the number of warm workers, the spread limits, isFailureCommon and the usual latencies.
+    void rankWorkers() {
+        rankedWorkers.clear();
+        std::size_t healthyCount = 0;
+        warmWorkerCount =
+            std::ranges::count_if(readyWorkers, [this](const Worker *worker) { return !isCold(*worker); });
+        const double wantedCount = wantedWorkerCount();
+        for (Worker *worker : readyWorkers) {
+            // Cold workers that this gateway may use now are taken in beyond the wanted number.
+            const bool isUsableCold = isCold(*worker) && warmUpLimit(*worker) >= 1;
+            if (static_cast<double>(healthyCount) >= wantedCount && !isUsableCold) continue;
+            rankedWorkers.push_back(worker);
+            healthyCount += now >= worker->ejectedUntil && !isCold(*worker) &&
+                            std::ranges::none_of(worker->healthByRoute, isFailing);
+            const double slowness = std::clamp(worker->relativeLatencies.mean(1), 0.25, 4.0);
+            worker->rankKey = slowness * (1 + worker->triesInFlight) +
+                              (worker->entry.zone == settings.zone ? 0 : kOtherZonePenaltyFraction);
+            worker->spreadLimit = worker->triesInFlight + 1;
         }
-        for (std::size_t at = 0; at < routes.size(); ++at) {
-            const auto fails = [at](const Worker *worker) { return failing(worker->health[at]); };
-            routes[at].commonFailure = 4 * std::ranges::count_if(ranked, fails) > 3 * std::ssize(ranked);
+        for (std::size_t index = 0; index < routes.size(); ++index) {
+            const auto fails = [index](const Worker *worker) {
+                return isFailing(worker->healthByRoute[index]);
+            };
+            // More than three quarters of the workers in use.
+            routes[index].isFailureCommon =
+                4 * std::ranges::count_if(rankedWorkers, fails) > 3 * std::ssize(rankedWorkers);
         }
-        std::ranges::stable_sort(ranked, {}, &Worker::key);
-        work = 0;
-        for (const RouteRow &row : routes)
-            work += row.work.mean(kLateAt * ms(row.latencyTarget)) / routes.size();
-        usual = took.mean(work);
-        orderOld = false;
-    }
-
-    void learnLimit(Worker &worker, double latency, double target) {
-        if (latency > kLateAt * target) {
-            if (ms(now - worker.limitCutAt) > kLateAt * target) {
-                worker.limit = std::max(1.0, worker.limit * 0.7);
-                worker.limitCutAt = now;
+        std::ranges::stable_sort(rankedWorkers, {}, &Worker::rankKey);
+        usualServiceTimeMs = 0;
+        for (const RouteState &route : routes)
+            usualServiceTimeMs +=
+                route.serviceTimesMs.mean(kSlowLatencyFraction * toMs(route.latencyTarget)) / routes.size();
+        usualLatencyMs = recentLatenciesMs.mean(usualServiceTimeMs);
+        isRankingStale = false;
+    }
+
+    /// Adapts a worker's concurrency limit to the latency of an answer. A slow answer reduces it, at most
+    /// once within the time that counts as slow. A fast one raises it if at least 70% of the limit is in use,
+    /// by an amount that adds one try for each gateway once all tries in flight have been answered.
+    void adjustConcurrencyLimit(Worker &worker, double latencyMs, double targetMs) {
+        if (latencyMs > kSlowLatencyFraction * targetMs) {
+            if (toMs(now - worker.limitReducedAt) > kSlowLatencyFraction * targetMs) {
+                worker.concurrencyLimit = std::max(1.0, worker.concurrencyLimit * 0.7);
+                worker.limitReducedAt = now;
             }
-        } else if (latency < kEasyAt * target && worker.out >= 0.7 * limitOf(worker)) {
-            worker.limit += std::min(kLimitMore, users() / limitOf(worker));
+        } else if (latencyMs < kFastLatencyFraction * targetMs &&
+                   worker.triesInFlight >= 0.7 * ownConcurrencyLimit(worker)) {
+            worker.concurrencyLimit +=
+                std::min(kMaxLimitIncrease, gatewaysPerWorker() / ownConcurrencyLimit(worker));
         }
     }
 
-    // ---- 2: health ----
+    // ---- Outlier ejection ----
 
-    static bool failing(const Health &health) {
-        return health.bad.size() >= kJudgedFrom && health.bad.mean(0) > kBadShare;
+    static bool isFailing(const RouteHealth &health) {
+        return health.failures.size() >= kMinHealthSampleCount && health.failures.mean(0) > kFailingFraction;
     }
 
-    bool onTrial(const Worker &worker, RouteId route) const {
-        return !routes[route.value].commonFailure && failing(worker.health[route.value]);
+    /// Whether a worker fails on a route while others don't. Once its ejection is over, it gets one try at a
+    /// time until enough of them are answered, like a half-open circuit breaker.
+    bool isOnProbation(const Worker &worker, RouteId route) const {
+        return !routes[route.value].isFailureCommon && isFailing(worker.healthByRoute[route.value]);
     }
 
-    void learn(Worker &worker, const TryEnded &ended) {
+    /// Updates a worker's health, concurrency limit and latencies from the outcome of a try, and ejects the
+    /// worker if needed.
+    void recordOutcome(Worker &worker, const TryEnded &ended) {
         const auto found = calls.find(ended.call);
         if (found == calls.end()) return;
-        const RouteId route = found->second.route;
-        RouteRow &row = routes[route.value];
-        Health &health = worker.health[route.value];
-        const bool cut = ended.outcome == Outcome::connectFailed || ended.outcome == Outcome::reset;
+        const RouteId routeId = found->second.route;
+        RouteState &route = routes[routeId.value];
+        RouteHealth &health = worker.healthByRoute[routeId.value];
+        const bool isConnectionFailure =
+            ended.outcome == Outcome::connectFailed || ended.outcome == Outcome::reset;
         if (ended.outcome == Outcome::answered) {
-            health.bad.add(0);
-            worker.cuts = 0;
-            worker.answered.add(ms(found->second.sentAt));
-            row.latencies.add(ms(ended.latency));
-            took.add(ms(ended.latency));
-            row.work.add(std::min(ms(ended.latency), kLateAt * ms(row.latencyTarget)));
-            worker.slowness.add(ms(ended.latency) / std::max(0.1, row.latencies.mean(1)));
-            learnLimit(worker, ms(ended.latency), ms(row.latencyTarget));
+            health.failures.add(0);
+            worker.connectionFailures = 0;
+            worker.answeredTriesSentAtMs.add(toMs(found->second.sentAt));
+            route.latenciesMs.add(toMs(ended.latency));
+            recentLatenciesMs.add(toMs(ended.latency));
+            route.serviceTimesMs.add(
+                std::min(toMs(ended.latency), kSlowLatencyFraction * toMs(route.latencyTarget)));
+            worker.relativeLatencies.add(toMs(ended.latency) / std::max(0.1, route.latenciesMs.mean(1)));
+            adjustConcurrencyLimit(worker, toMs(ended.latency), toMs(route.latencyTarget));
         } else if (ended.outcome == Outcome::overloaded) {
-            worker.limit = std::max(1.0, 0.7 * std::min(worker.limit, worker.out * users()));
-            worker.barredUntil = std::max(worker.barredUntil, now + kBar / 2);
-        } else if (cut || ended.outcome == Outcome::errored || ended.outcome == Outcome::timedOut) {
-            health.bad.add(1);
-            if (onTrial(worker, route)) health.barredUntil = now + kBar * std::llround(health.bad.sum());
-            // One reset may be the connection's own end; a worker that is gone refuses, or resets in a row.
-            worker.cuts += cut;
-            if (worker.cuts > (ended.outcome == Outcome::connectFailed ? 0 : 1))
-                worker.barredUntil = now + kBar * std::min(worker.cuts, 16);
+            worker.concurrencyLimit = std::max(
+                1.0, 0.7 * std::min(worker.concurrencyLimit, worker.triesInFlight * gatewaysPerWorker()));
+            worker.ejectedUntil = std::max(worker.ejectedUntil, now + kEjectionBase / 2);
+        } else if (isConnectionFailure || ended.outcome == Outcome::errored ||
+                   ended.outcome == Outcome::timedOut) {
+            health.failures.add(1);
+            if (isOnProbation(worker, routeId))
+                health.ejectedUntil = now + kEjectionBase * std::llround(health.failures.sum());
+            // A single reset may be the end of that connection only. A worker that is gone refuses
+            // connections, or resets several in a row.
+            worker.connectionFailures += isConnectionFailure;
+            if (worker.connectionFailures > (ended.outcome == Outcome::connectFailed ? 0 : 1))
+                worker.ejectedUntil = now + kEjectionBase * std::min(worker.connectionFailures, 16);
         }
-        // One that turned us away rests as well: else all gateways come back to its full line at once.
-        const bool heard = ended.outcome == Outcome::answered || ended.outcome == Outcome::errored;
-        if (heard || ended.outcome == Outcome::overloaded) worker.endedAt = now;
-    }
-
-    /// A connection can fall silent while its worker goes on. A try that the last answers there have
-    /// overtaken, and that takes far too long for its size (up to the target if it may not run twice), is
-    /// called off.
-    void callOffOvertaken() {
-        for (auto &[id, rq] : calls) {
-            const auto at = workers.find(rq.worker);
-            if (!facts.mayCancel || !rq.out || rq.calledOff || at == workers.end()) continue;
-            const Duration target = routes[rq.route.value].latencyTarget;
-            const double far = kFar * (1 + rq.units) * routes[rq.route.value].latencies.mean(ms(target));
-            if (now - rq.sentAt < (once(rq) ? target : std::min(target, spanOf(far)))) continue;
-            rq.calledOff = std::ranges::min(at->second.answered.samples) > ms(rq.sentAt);
-            if (rq.calledOff) actions.push_back(CancelTry{id, {static_cast<std::uint8_t>(rq.tries - 1)}});
+        // The pause that keeps a limit below one also starts at an overloaded reply. Otherwise all gateways
+        // would come back to the worker's full queue at once.
+        const bool hasReply = ended.outcome == Outcome::answered || ended.outcome == Outcome::errored;
+        if (hasReply || ended.outcome == Outcome::overloaded) worker.lastReplyAt = now;
+    }
+
+    /// Cancels tries that their worker seems to have lost: a connection can fall silent while its worker goes
+    /// on. A try is cancelled when the worker's last four answers were all to tries sent later, and it is
+    /// overdue for the size of its call, at the latest at the latency target. A non-idempotent call can't be
+    /// tried again and is given the whole time up to the target.
+    void cancelOvertakenTries() {
+        for (auto &[id, call] : calls) {
+            const auto worker = workers.find(call.lastWorker);
+            if (!settings.mayCancel || !call.hasTryInFlight || call.isTryCancelled || worker == workers.end())
+                continue;
+            const Duration target = routes[call.route.value].latencyTarget;
+            const double overdueMs = kOverdueLatencyFactor * (1 + call.units) *
+                                     routes[call.route.value].latenciesMs.mean(toMs(target));
+            if (now - call.sentAt < (isNonIdempotent(call) ? target : std::min(target, fromMs(overdueMs))))
+                continue;
+            // Answers that haven't been given yet stand as 0 among the samples, so four are needed.
+            call.isTryCancelled =
+                std::ranges::min(worker->second.answeredTriesSentAtMs.samples) > toMs(call.sentAt);
+            if (call.isTryCancelled)
+                actions.push_back(CancelTry{id, {static_cast<std::uint8_t>(call.triesSent - 1)}});
         }
     }
 
-    // ---- 3: warm-up ----
+    // ---- Slow start of cold workers ----
 
-    bool cold(const Worker &worker) const {
-        return worker.entry.startedAt != Timestamp{} && now - worker.entry.startedAt < facts.warmUp;
+    bool isCold(const Worker &worker) const {
+        return worker.entry.startedAt != Timestamp{} && now - worker.entry.startedAt < settings.warmUp;
     }
 
-    /// A cold worker ends no more than it can do, so what is out bounds what is sent: all gateways together
-    /// may have (multiple - 1) x capacity x span of work out, as if for a single core. Where an even part is
-    /// under one try they take turns by number, a span each, with half of it, as two turns touch any span.
-    double coldLimit(const Worker &worker) const {
-        if (!cold(worker)) return limitOf(worker);
-        const double part = std::max(0.0, ms(now - worker.entry.startedAt) / ms(facts.warmUp));
-        const double capacity = facts.coldCapacityFraction + (1 - facts.coldCapacityFraction) * part;
-        const double tries = (facts.coldOverloadFactor - 1) * capacity * ms(facts.coldOverloadWindow) / work;
-        if (tries >= facts.gatewayCount || facts.gatewayCount < kTurnsFrom) {
-            return std::max(1.0, std::floor(tries / facts.gatewayCount));
+    /// Number of tries that this gateway may have in flight at a worker, with regard to its warm-up. For a
+    /// warm worker that is ownConcurrencyLimit().
+    ///
+    /// A cold worker crashes when too much work is sent to it within coldOverloadWindow. It can't finish more
+    /// than its capacity allows, so a bound on the work in flight bounds the work sent: all gateways together
+    /// may have (coldOverloadFactor - 1) * capacity * coldOverloadWindow in flight, counted as if the worker
+    /// had a single core. Where an even share of that is below one try, gateways take turns by index. A turn
+    /// lasts one coldOverloadWindow and covers half of the allowed tries, one for each gateway, because any
+    /// period of that length overlaps two turns.
+    double warmUpLimit(const Worker &worker) const {
+        if (!isCold(worker)) return ownConcurrencyLimit(worker);
+        const double warmUpFraction =
+            std::max(0.0, toMs(now - worker.entry.startedAt) / toMs(settings.warmUp));
+        const double capacity =
+            settings.coldCapacityFraction + (1 - settings.coldCapacityFraction) * warmUpFraction;
+        const double allowedTries = (settings.coldOverloadFactor - 1) * capacity *
+                                    toMs(settings.coldOverloadWindow) / usualServiceTimeMs;
+        if (allowedTries >= settings.gatewayCount || settings.gatewayCount < kMinGatewaysForTurnsCount) {
+            return std::max(1.0, std::floor(allowedTries / settings.gatewayCount));
         }
-        const auto turn = static_cast<std::uint64_t>(now / std::max(Duration{1}, facts.coldOverloadWindow));
-        const auto width = static_cast<std::uint64_t>(std::max(1.0, tries / 2));
-        const auto place = facts.gatewayIndex.value + mixed(worker.entry.worker.value) + turn * width;
-        return place % facts.gatewayCount < width ? 1 : 0;
+        const auto turn =
+            static_cast<std::uint64_t>(now / std::max(Duration{1}, settings.coldOverloadWindow));
+        const auto gatewaysPerTurn = static_cast<std::uint64_t>(std::max(1.0, allowedTries / 2));
+        const auto position =
+            settings.gatewayIndex.value + mix64(worker.entry.worker.value) + turn * gatewaysPerTurn;
+        return position % settings.gatewayCount < gatewaysPerTurn ? 1 : 0;
     }
 
-    // ---- the list of workers, timers, and what this version has no use for ----
+    // ---- List of workers, periodic work, events without effect ----
 
-    void on(const WorkerListUpdated &news) {
-        if (news.kind == WorkerListKind::failed) return;
+    /// Updates the workers from discovery's list.
+    void on(const WorkerListUpdated &update) {
+        if (update.kind == WorkerListKind::failed) return;
         for (auto &[id, worker] : workers)
-            if (news.kind != WorkerListKind::delta) worker.entry.state = WorkerState::gone;
-        for (const WorkerEntry &entry : news.workers) {
+            if (update.kind != WorkerListKind::delta) worker.entry.state = WorkerState::gone;
+        for (const WorkerEntry &entry : update.workers) {
             Worker &worker = workers[entry.worker];
-            // Another process: nothing learned of the last one holds.
-            if (worker.entry.startedAt != entry.startedAt) worker = {.out = worker.out};
+            // A different start time means another process, to which nothing measured so far applies.
+            if (worker.entry.startedAt != entry.startedAt) worker = {.triesInFlight = worker.triesInFlight};
             worker.entry = entry;
-            worker.health.resize(routes.size());
+            worker.healthByRoute.resize(routes.size());
         }
-        std::erase_if(workers, [](const auto &one) { return one.second.left(); });
-        reorder();
+        std::erase_if(workers, [](const auto &idAndWorker) { return idAndWorker.second.isRemovable(); });
+        rebuildWorkerOrder();
         for (auto &[id, worker] : workers)
-            if (worker.slowness.size() == 0) worker.limit = kFirstLimit;
+            if (worker.relativeLatencies.size() == 0) worker.concurrencyLimit = kInitialConcurrencyLimit;
     }
 
+    /// The periodic tick.
     void on(const TimerFired &fired) {
         if (fired.token != kTickToken) return;
-        actions.push_back(SetTimer{now + kTick, kTickToken});
-        orderOld = true;
-        callOffOvertaken();
-        if (!line.empty()) serveLine();
-        std::vector<CustomerId> late;
-        // Whatever keeps the counter's answer away, none waits for it longer than the counter may take.
-        for (const auto &[id, rq] : calls)
-            if (rq.held && now - rq.taken > 2 * facts.counterTimeout) late.push_back(rq.customer);
-        for (const CustomerId id : late) {
-            decideHeld(customers.at(id), false, 0);
-            decideAsking(id, customers.at(id));
+        actions.push_back(SetTimer{now + kTickInterval, kTickToken});
+        isRankingStale = true;
+        cancelOvertakenTries();
+        if (!retryQueue.empty()) serveRetryQueue();
+        // No call is held for longer than two counter timeouts, whatever delays the counter's reply.
+        std::vector<CustomerId> overdue;
+        for (const auto &[id, call] : calls)
+            if (call.isHeld && now - call.receivedAt > 2 * settings.counterTimeout)
+                overdue.push_back(call.customer);
+        for (const CustomerId id : overdue) {
+            decideHeldCalls(customers.at(id), false, 0);
+            decideCallsAwaitingTotals(id, customers.at(id));
         }
-        serveDue();
-        dropIdle();
-    }
-
-    /// Counts that wait for a call, the most telling of a part of the line first. Where the counter takes
-    /// less than is passed the line would grow for as long as that lasts, and with it each tick: so a tick
-    /// looks at a part, and what no estimate reads any more leaves.
-    void serveDue() {
-        mayCall(0, 0);
-        std::vector<std::pair<double, CustomerId>> looked;
-        for (std::size_t left = std::min(due.size(), kDueLooked); left > 0; --left) {
-            const CustomerId id = due.front();
-            due.pop_front();
-            Customer &cons = customers.at(id);
-            cons.listed = owes(id, cons);
-            if (cons.listed) looked.emplace_back(-urgency(id), id);
+        serveReportQueue();
+        evictIdleCustomers();
+    }
+
+    /// Sends reports of queued customers, by urgency among the first of the queue, as far as the pace allows.
+    /// While the counter takes fewer requests than there are admitted calls, the queue would grow without
+    /// end, and each tick with it. So a tick examines a limited number of customers, and those leave the
+    /// queue whose counts belong to windows that no estimate reads any more.
+    void serveReportQueue() {
+        tryTakeRequestTokens(0, 0);
+        std::vector<std::pair<double, CustomerId>> candidates;
+        for (std::size_t remaining = std::min(reportQueue.size(), kQueuedReportsPerTickCount); remaining > 0;
+             --remaining) {
+            const CustomerId id = reportQueue.front();
+            reportQueue.pop_front();
+            Customer &customer = customers.at(id);
+            customer.isQueued = hasPendingReports(id, customer);
+            if (customer.isQueued) candidates.emplace_back(-reportUrgency(id), id);
         }
-        std::ranges::stable_sort(looked, {}, [](const auto &one) { return one.first; });
-        for (const auto &[urgent, id] : looked) {
-            Customer &cons = customers.at(id);
-            // Short of calls half way it lists itself: twice in the line, it would outlive its customer
-            // there.
-            cons.listed = !mayCall(1, 0);
-            cons.listed ? due.push_back(id) : reportAll(id, cons, Ask::turn);
-            if (!cons.held.empty()) list(id, cons);
+        std::ranges::stable_sort(candidates, {}, [](const auto &candidate) { return candidate.first; });
+        for (const auto &[negatedUrgency, id] : candidates) {
+            Customer &customer = customers.at(id);
+            // reportAllCounts() queues the customer itself if the tokens run out before all is sent. isQueued
+            // must be right before that: a customer that is in the queue twice could be evicted while its
+            // second entry remains there.
+            customer.isQueued = !tryTakeRequestTokens(1, 0);
+            customer.isQueued ? reportQueue.push_back(id)
+                              : reportAllCounts(id, customer, ReportReason::queueTurn);
+            if (!customer.heldCalls.empty()) enqueueReport(id, customer);
         }
     }
 
-    bool owes(CustomerId id, Customer &cons) {
-        turn(id, cons);
-        cons.open.turnTo(phased(id, kOpenEpoch) / kOpenEpoch);
-        return !cons.held.empty() || cons.units.current.due || cons.units.previous.due ||
-               cons.open.current.due || cons.open.previous.due;
-    }
-
-    /// Each customer is looked at about once in a hundred ticks; a ceiling's share that had time to fill is
-    /// new.
-    void dropIdle() {
-        for (std::size_t left = 1 + customers.size() / 100; left > 0 && !customers.empty(); --left) {
-            const auto next = customers.upper_bound(lookedAt);
-            const auto at = next == customers.end() ? customers.begin() : next;
-            const Customer &cons = at->second;
-            lookedAt = at->first;
-            const Plan &plan = planOf(cons.plan);
-            const double fills = plan.ceilingRate > 0 ? plan.ceilingBurst / plan.ceilingRate * 1000 : 0;
-            const Duration kept = std::max(2 * windowOf(plan), spanOf(fills));
-            const bool waits = cons.openHere > 0 || cons.listed || !cons.asking.empty();
-            if (now - cons.seenAt > kept && !waits) customers.erase(at);
+    /// Whether the customer has held calls or counts to report, after its windows were moved on to the
+    /// present.
+    bool hasPendingReports(CustomerId id, Customer &customer) {
+        advanceQuota(id, customer);
+        customer.openCounts.advanceTo(shiftedNow(id, kOpenCountEpoch) / kOpenCountEpoch);
+        return !customer.heldCalls.empty() || customer.unitCounts.current.needsReport ||
+               customer.unitCounts.previous.needsReport || customer.openCounts.current.needsReport ||
+               customer.openCounts.previous.needsReport;
+    }
+
+    /// Removes customers that have made no call for two windows. Each tick examines about a hundredth of all
+    /// customers. One with a ceiling stays for as long as its share of the ceiling may take to fill:
+    /// afterwards a new entry has the same, full share, so that removing the old one gives nothing back.
+    void evictIdleCustomers() {
+        for (std::size_t remaining = 1 + customers.size() / 100; remaining > 0 && !customers.empty();
+             --remaining) {
+            const auto next = customers.upper_bound(lastCheckedCustomer);
+            const auto checked = next == customers.end() ? customers.begin() : next;
+            const Customer &customer = checked->second;
+            lastCheckedCustomer = checked->first;
+            const Plan &plan = planOf(customer.plan);
+            const double ceilingFillMs =
+                plan.ceilingRate > 0 ? plan.ceilingBurst / plan.ceilingRate * 1000 : 0;
+            const Duration retention = std::max(2 * windowLength(plan), fromMs(ceilingFillMs));
+            const bool isInUse =
+                customer.ownOpenTries > 0 || customer.isQueued || !customer.callsAwaitingTotals.empty();
+            if (now - customer.lastCallAt > retention && !isInUse) customers.erase(checked);
         }
     }
 
-    void on(const auto &) {}  // this version neither probes nor talks to its peers
+    /// ProbeEnded and PeerMessageReceived: this engine sends neither probes nor messages to other gateways.
+    void on(const auto &) {}
 };
 
-DecisionEngine::DecisionEngine(const EngineSettings &facts, std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(facts, seed)) {}
+DecisionEngine::DecisionEngine(const EngineSettings &settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(settings, seed)) {}
 DecisionEngine::~DecisionEngine() = default;
 DecisionEngine::DecisionEngine(DecisionEngine &&) noexcept = default;
 DecisionEngine &DecisionEngine::operator=(DecisionEngine &&) noexcept = default;
