--- a/src/decision_engine.cpp
+++ b/src/decision_engine.cpp
@@ -9,8 +9,8 @@
 /// design.
 ///
 /// These mechanisms stand beside the estimate, in this order of the file:
-/// - Requests to the counter: pacing and its trust. tryTakeRequestTokens(), adjustRequestRate(),
-///   isCounterTrusted(), rereadTotals().
+/// - Requests to the counter, which are paced by its latency and failures: tryTakeRequestTokens(),
+///   adjustRequestRate(), isCounterTrusted(), rereadTotals().
 /// - Hard bounds: ceilings in ceilingAdmits(), caps on open tries in openCapAdmits() and decideHeldCalls().
 /// - Retry queue: serveRetryQueue(), mayRetry().
 /// - Load balancing with a concurrency limit for each worker: pickWorker(), rebuildWorkerOrder(),
@@ -43,10 +43,10 @@
 constexpr double kRereadBelowBurstFraction = 0.5;
 /// Minimum time between two such reads of a customer's current window.
 constexpr Duration kRereadInterval = milliseconds(100);
-/// For this long after an open cap was full, cached totals don't decide about it.
+/// After an open cap was found full, time for which any cached total counts as too old to decide about it.
 constexpr Duration kCapFullPeriod = milliseconds(3000);
-/// Length of the windows in which open tries are counted. It also stands for the window length of plans
-/// without a quota on the rate.
+/// Length of the windows (epochs) in which open tries are counted. It also stands for the window length of
+/// plans without a quota on the rate.
 constexpr Duration kOpenCountEpoch = milliseconds(20000);
 /// Longest lifetime of a count on the counter.
 constexpr Duration kMaxCountLifetime = milliseconds(60000);
@@ -62,54 +62,60 @@
 // an even share, unless the name says otherwise.
 
 constexpr double kInitialRequestsPerSecond = 600;
-/// Bounds the reduction of the rate while the counter is slow or fails.
+/// Lower bound of the rate while the counter is slow or fails.
 constexpr double kMinRequestsPerSecond = 15;
-/// Bounds it as well, for each gateway alone.
+/// Lower bound of each gateway's own rate, which lets it notice within about a second that the counter works
+/// again.
 constexpr double kMinRequestsPerSecondPerGateway = 1;
-/// Increase of the rate within a second in which the counter answers in time and all of the rate is used.
+/// Increase of the rate within a second in which the whole rate is used and the counter answers fast.
 constexpr double kRequestRateIncreasePerSecond = 1200;
+/// The rate is multiplied by this when the counter is slow or fails.
 constexpr double kRequestRateCutFactor = 0.7;
-/// Requests that may be sent at once, after a pause.
-constexpr double kMaxRequestBurstCount = 60;
-/// Customers of the report queue that a tick examines.
-constexpr std::size_t kQueuedReportsPerTickCount = 64;
+/// Number of requests that may be sent at once after a pause: the capacity of the token bucket.
+constexpr double kMaxRequestBurst = 60;
+/// Maximum number of customers in the report queue that a tick examines.
+constexpr std::size_t kMaxQueueChecksPerTick = 64;
 
 // Load balancing.
 
-/// Minimum number of healthy workers that a gateway uses.
-constexpr double kMinWorkersPerGatewayCount = 8;
+/// Number of healthy warm workers that a gateway uses at least, if there are as many.
+constexpr double kMinUsedWorkerCount = 8;
 /// Initial concurrency limit of a worker: tries of all gateways together.
 constexpr double kInitialConcurrencyLimit = 6;
 /// Maximum increase of a worker's concurrency limit after one answer, for all gateways together.
 constexpr double kMaxLimitIncrease = 4;
 /// Penalty on a worker's rank for being in another zone, as a fraction of the usual latency.
 constexpr double kOtherZonePenaltyFraction = 0.15;
-/// Fraction of a worker's concurrency limit that calls of low value may fill.
+/// Fraction of a worker's concurrency limit that a call of low value may fill when it is held back, and the
+/// minimum probability that it isn't held back.
 constexpr double kLowValueLimitFraction = 0.6;
-/// Fraction of the latency target. An answer that took longer counts as slow and reduces the worker's
+/// Fraction of a route's latency target. An answer that took longer counts as slow and reduces the worker's
 /// concurrency limit.
 constexpr double kSlowLatencyFraction = 0.2;
-/// Fraction of the latency target. An answer that took less may raise the worker's concurrency limit.
+/// Fraction of a route's latency target. An answer that took less may raise the worker's concurrency limit.
 constexpr double kFastLatencyFraction = 0.08;
 
 // Outlier ejection.
 
-/// Base of the time for which a worker is ejected. It is multiplied by the number of recent failures.
+/// Time for which a worker is ejected, for each recent failure. After an overloaded reply it is ejected for
+/// half of this time.
 constexpr Duration kEjectionBase = milliseconds(250);
 /// After an ejection, time for which a worker that still counts as failing gets no non-idempotent calls.
 constexpr Duration kNonIdempotentReturnDelay = milliseconds(2000);
-/// A worker fails on a route when more than this fraction of its recent outcomes there are bad.
+/// A worker counts as failing on a route when more than this fraction of its recent tries there failed.
 constexpr double kFailingFraction = 0.3;
-/// Number of outcomes from which on a worker is judged.
+/// Minimum number of tries on a route before a worker may count as failing there.
 constexpr std::size_t kMinHealthSampleCount = 4;
 /// A try is overdue after this multiple of its route's mean latency, times (1 + units of the call).
 constexpr double kOverdueLatencyFactor = 3;
 
 // Slow start.
 
-/// Number of gateways from which on they take turns at a cold worker that can't take one try of each.
-constexpr std::size_t kMinGatewaysForTurnsCount = 8;
+/// Minimum number of gateways for them to take turns at a cold worker that can't take one try of each. With
+/// fewer gateways each may always have one try there.
+constexpr std::size_t kMinGatewayCountForTurns = 8;
 
+/// Returns milliseconds.
 double toMs(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
 
 Duration fromMs(double durationMs) { return Duration{std::llround(durationMs * 1000)}; }
@@ -130,7 +136,7 @@
     /// Returns `fallback` when there is no sample.
     double mean(double fallback) const { return addedCount > 0 ? sum() / double(size()) : fallback; }
 
-    std::array<double, capacity> samples{};  ///< those that were not yet added are 0
+    std::array<double, capacity> samples{};  ///< 0 where no sample was added yet
     std::size_t addedCount = 0;              ///< samples ever added
 };
 
@@ -140,7 +146,8 @@
     /// Estimated service times: the same latencies, each cut at kSlowLatencyFraction of the target. What
     /// exceeds that is taken as time spent in the worker's queue.
     RecentSamples<64> serviceTimesMs;
-    /// Most workers in use fail on this route. The cause is something they share, so none of them is ejected.
+    /// Most workers in use fail on this route. The cause is something they share and no worker is a better
+    /// choice, so none is ejected for it.
     bool isFailureCommon = false;
 };
 
@@ -156,13 +163,13 @@
     int triesInFlight = 0;        ///< of this gateway
     int connectionFailures = 0;   ///< since its last answer
     double concurrencyLimit = 1;  ///< tries in flight of all gateways together
-    /// Tries in flight up to which pickWorker() fills this worker in its first pass: those at the last
-    /// ranking and one more.
+    /// Tries in flight up to which pickWorker() fills this worker in its first pass: their number at the last
+    /// ranking plus one.
     double spreadLimit = 1;
     double rankKey = 1;                      ///< the worker with the lowest key is tried first
     RecentSamples<16> relativeLatencies;     ///< of its answers, divided by the mean latency of the route
     RecentSamples<4> answeredTriesSentAtMs;  ///< when the last tries that it answered had been sent
-    Timestamp ejectedUntil{};                ///< from all routes
+    Timestamp ejectedUntil{};                ///< for all routes
     Timestamp limitReducedAt{};              ///< when its latency last reduced the concurrency limit
     /// When it last answered a try, with a result, an error or as overloaded. Zero: not yet.
     Timestamp lastReplyAt{};
@@ -170,23 +177,23 @@
     bool isRemovable() const { return entry.state == WorkerState::gone && triesInFlight == 0; }
 };
 
-/// One count on the counter service, for one customer and one window, as far as this gateway's cache has it.
-/// Amounts are units or open tries.
+/// This gateway's cached state of one count on the counter service, which belongs to one customer and one
+/// window. Amounts are in units or open tries, depending on CountKind.
 struct CachedCount {
     std::int64_t windowIndex = -1;
-    double total = 0;      ///< by the last reply
-    double confirmed = 0;  ///< this gateway's part of `total`
-    // This gateway's additions that are in no reply yet:
-    double inRequest = 0;      ///< sent with the request that is in flight
-    double unreported = 0;     ///< not sent yet
-    double unconfirmed = 0;    ///< sent with requests that failed and may have been carried out or not
+    double total = 0;          ///< by the last reply
+    double confirmed = 0;      ///< this gateway's part of `total`
+    double inRequest = 0;      ///< this gateway's additions in the request that is in flight
+    double unreported = 0;     ///< this gateway's additions that were not sent yet; may be negative
+    double unconfirmed = 0;    ///< this gateway's additions in failed requests that may have had an effect
     bool hasTotal = false;     ///< a reply was received
     bool isRequested = false;  ///< a request for this count is in flight
     bool needsReport = false;  ///< a change has not been sent yet
     Timestamp totalReadAt{};   ///< when the last reply was received
     Duration totalCovers{};    ///< how much of the window, from its start, the last reply covers
-    /// The other gateways' part that has been taken out of Customer::bucketLevel.
+    /// The other gateways' part of `total` that has been taken out of Customer::bucketLevel.
     double othersInBucket = 0;
+    /// Use through all gateways, as far as it is known here.
     double usage() const { return total + inRequest + unreported + unconfirmed; }
     double ownUsage() const { return confirmed + inRequest + unreported + unconfirmed; }
     double othersUsage() const { return hasTotal ? std::max(0.0, total - confirmed) : 0; }
@@ -206,12 +213,14 @@
 /// The two windows of the estimate, or two epochs of the count of open tries.
 struct WindowPair {
     CachedCount current, previous;
-    /// Returns nullptr when the window is neither the current nor the previous one.
+    /// Finds the count of a window. Returns nullptr when the window is neither the current nor the previous
+    /// one.
     CachedCount *find(std::int64_t windowIndex) {
         return current.windowIndex == windowIndex    ? &current
                : previous.windowIndex == windowIndex ? &previous
                                                      : nullptr;
     }
+    /// Makes the given window the current one.
     void advanceTo(std::int64_t windowIndex) {
         if (windowIndex != current.windowIndex) {
             previous = windowIndex == current.windowIndex + 1 ? current
@@ -226,15 +235,16 @@
     PlanId plan;
     unsigned subsetSize = 1;  ///< gateways over which the customer's calls are spread
     WindowPair unitCounts, openCounts;
-    int ownOpenTries = 0;             ///< open through this gateway, with the calls of heldCalls
-    Timestamp capFullAt{};            ///< when the open cap was last found full; zero: never
-    Timestamp openShareRestsUntil{};  ///< the share of the open cap is zero until then, see openCapShare()
+    int ownOpenTries = 0;              ///< tries of this gateway, including one for each of heldCalls
+    Timestamp capFullAt{};             ///< when the open cap was last found full; zero: never
+    Timestamp openSharePausedUntil{};  ///< openCapShare() is zero until then
     /// Calls held until the counter has counted their tries against the open cap, oldest first.
     std::deque<CallId> heldCalls;
     std::deque<CallId> callsAwaitingTotals;  ///< calls that wait for the customer's first totals
-    std::size_t heldInRequest = 0;  ///< the first so many of heldCalls are in the request that is in flight
-    bool hasTotals = false;         ///< a reply with a total of units was received
-    bool isQueued = false;          ///< in Impl::reportQueue
+    /// Number of heldCalls, from the front, whose tries the request in flight counts.
+    std::size_t heldInRequest = 0;
+    bool hasTotals = false;  ///< a total of units was received
+    bool isQueued = false;   ///< in Impl::reportQueue
     /// Units a millisecond that the other gateways admit, by the last totals. Never above the plan's rate,
     /// since the quota limits them too.
     double othersUnitsPerMs = 0;
@@ -255,8 +265,8 @@
     Timestamp mayHaveRunSince{};  ///< when the first try that may have run was sent
     unsigned triesSent = 0;
     bool hasTryInFlight = false;
-    bool isHeld = false;          ///< waits for a reply of the counter
-    bool isClosed = false;        ///< the engine owes no answer any more
+    bool isHeld = false;          ///< in Customer::heldCalls or callsAwaitingTotals
+    bool isClosed = false;        ///< the engine must not answer it any more
     bool mayHaveRun = false;      ///< a worker may have run it
     bool isTryCancelled = false;  ///< CancelTry was returned for the last try
     WorkerId lastWorker{};        ///< of the last try
@@ -276,7 +286,7 @@
     }
 
     EngineSettings settings;
-    Plan unlimitedPlan;  ///< for plans that the settings don't have
+    Plan unlimitedPlan;  ///< stands in for plans that are missing in the settings
     std::uint64_t randomState;
     std::vector<RouteState> routes;
     std::map<WorkerId, Worker> workers;
@@ -288,27 +298,27 @@
     std::map<CountName, std::tuple<CustomerId, CountKind, std::int64_t>> counterRequests;
     std::deque<CallId> retryQueue;        ///< calls whose last try has ended without an answer to the client
     std::deque<CustomerId> reportQueue;   ///< customers with a count to report, or with held calls
-    RecentSamples<64> recentValuesPerMs;  ///< valuePerMs() of the calls that were about to be sent
+    RecentSamples<64> recentValuesPerMs;  ///< valuePerMs() of admitted calls
     RecentSamples<16> recentLatenciesMs;  ///< of answered tries on any route
     RecentSamples<32> recentSendGapsMs;   ///< between consecutive tries
     double requestsPerSecond = 0;         ///< rate of requests to the counter that is allowed at present
     double requestTokens = 0;             ///< level of the token bucket for requests to the counter
     double usualLatencyMs = 0;            ///< mean of the recent latencies, when last ranked
-    double usualServiceTimeMs = 0;        ///< the same without the time in workers' queues
+    double usualServiceTimeMs = 0;        ///< mean over all routes, when last ranked
     Timestamp now{};                      ///< time of the event that is being handled
     Timestamp startedAt{};                ///< time of the first event
     Timestamp requestTokensUpdatedAt{};
     Timestamp requestRateReducedAt{};
-    Timestamp counterAnsweredAt{};  ///< when the counter last gave a usable or an error reply
+    Timestamp counterAnsweredAt{};  ///< when the counter last replied, be it with an error
     Timestamp lastTrySentAt{};
     bool isTicking = false;           ///< the periodic timer was started
     bool isCounterFailing = false;    ///< the last request to the counter failed
     bool isRankingStale = true;       ///< rankWorkers() must run before the next choice of a worker
     std::size_t warmWorkerCount = 0;  ///< ready workers that are not cold
     CustomerId lastCheckedCustomer;   ///< position of evictIdleCustomers()
-    std::vector<Action> actions;      ///< that the current event has led to so far
+    std::vector<Action> actions;      ///< to be returned for the current event
 
-    /// DecisionEngine::handle.
+    /// Implements DecisionEngine::handle().
     std::vector<Action> handle(Timestamp eventTime, const Event &event) {
         now = eventTime;
         actions.clear();
@@ -415,8 +425,8 @@
     /// Answers a call as rate-limited, with a retry-after time where the settings allow it.
     ///
     /// The latency target counts from the client's first try: a retry after the target uses quota and earns
-    /// next to nothing, and one that is refused that late costs. So the time is short enough for all of a
-    /// client's retries to fit into the target.
+    /// next to nothing, and a refusal that late has a cost. So the time is short enough for all of a client's
+    /// retries to fit into the target.
     void answerRateLimited(CallId id, RouteId route) {
         const Duration maxDelay =
             std::min(settings.maxRetryAfter, routes[route.value].latencyTarget / kRetriesPerLatencyTarget);
@@ -427,6 +437,7 @@
 
     // ---- Requests to the counter: reports, pacing, trust ----
 
+    /// Name of a count: a hash of customer, kind and window, which is the same on all gateways.
     CountName countName(CustomerId id, CountKind kind, std::int64_t windowIndex) const {
         return {mix64(mix64(id.value * 2 + (kind == CountKind::openTries)) ^
                       static_cast<std::uint64_t>(windowIndex))};
@@ -447,8 +458,9 @@
         const bool isAwaited = reason == ReportReason::firstTotals ||
                                (kind == CountKind::openTries && !customer.heldCalls.empty());
         if (count.unreported == 0 && !isRead && !isAwaited) return;
-        // While others are queued, a change must not be sent before theirs: it needs half a burst of tokens,
-        // or waits in the queue for its turn by urgency. Reads give way in the same manner.
+        // A change gives way to those of customers that are queued already: it is sent now only if half of
+        // the token bucket is left, else it is queued and waits for its turn by urgency. Reads give way
+        // always.
         const bool givesWay =
             isRead || (reason == ReportReason::change && !isAwaited && !reportQueue.empty());
         const bool maySend = tryTakeRequestTokens(givesWay ? maxRequestTokens() / 2 : 1);
@@ -457,9 +469,10 @@
         count.needsReport = false;
         const CountName name = countName(id, kind, count.windowIndex);
         counterRequests[name] = {id, kind, count.windowIndex};
-        // Longer than expected: a late reply is still better than an addition of which nobody can tell
-        // whether it was carried out.
+        // Longer than the counter is expected to take: a late reply is still better than not to know whether
+        // the addition was carried out.
         const Duration timeout = 4 * settings.counterTimeout;
+        // A count is read during its own window and the next one. The lifetime covers one more.
         actions.push_back(
             AddToCount{name, count.unreported, std::min(kMaxCountLifetime, 3 * length), timeout});
         count.inRequest = std::exchange(count.unreported, 0);
@@ -467,13 +480,13 @@
         if (kind == CountKind::openTries) customer.heldInRequest = customer.heldCalls.size();
     }
 
-    /// Order in which queued customers are reported when there are too few requests for all, highest first:
-    /// by the unreported use in relation to what is left of the customer's quota. Held calls come before all
-    /// else.
+    /// Priority of a customer in the report queue: its unreported use in relation to what is left of its
+    /// quota and open cap. When the pace doesn't allow reports for all customers, those with the highest
+    /// value come first. Customers with held calls come before all others.
     double reportUrgency(CustomerId id) const {
         const Customer &customer = customers.at(id);
         const Plan &plan = planOf(customer.plan);
-        if (!customer.heldCalls.empty()) return kMaxCountLifetime.count();  // any value above all others
+        if (!customer.heldCalls.empty()) return kMaxCountLifetime.count();  // above any other
         const double open = std::abs(customer.openCounts.current.unreported) / std::max(1u, plan.openCap);
         if (!hasRateQuota(plan)) return open;
         const double units = std::abs(customer.unitCounts.current.unreported) +
@@ -517,7 +530,7 @@
         const auto [id, kind, windowIndex] = request->second;
         counterRequests.erase(request);
         const bool isAnswered = ended.outcome == Outcome::answered;
-        // An error reply shows that the counter is at work, so it doesn't slow the pace down.
+        // For the pace an error reply is as good as a total: the counter is at work.
         adjustRequestRate(isAnswered || ended.outcome == Outcome::errored, ended.latency);
         const auto found = customers.find(id);
         if (found == customers.end()) return;
@@ -541,7 +554,7 @@
                 const Duration length = windowLength(planOf(customer.plan));
                 const bool isCurrent = count == &customer.unitCounts.current;
                 count->totalCovers = isCurrent ? shiftedNow(id, length) % length : length;
-                // Replaces what was assumed of the other gateways' use by what the total shows.
+                // Replaces the assumed use of the other gateways by the use that the total shows.
                 customer.bucketLevel -=
                     count->othersUsage() - count->othersInBucket - customer.assumedOthersUnits;
                 count->othersInBucket = count->othersUsage();
@@ -570,8 +583,8 @@
         reportAllCounts(id, customer);
     }
 
-    /// Whether calls may wait for the counter: it may be used, and hasn't failed for longer than four
-    /// timeouts.
+    /// Whether decisions may rely on the counter: the settings allow its use, and its last request succeeded
+    /// or it has replied within the last four timeouts.
     bool isCounterTrusted() const {
         return settings.mayUseCounter &&
                (!isCounterFailing || now - counterAnsweredAt < 4 * settings.counterTimeout);
@@ -579,8 +592,8 @@
 
     // Requests to the counter are paced by a token bucket whose rate follows the counter's latency and
     // failures (additive increase, multiplicative decrease). The counter also works on requests whose sender
-    // has stopped waiting, so sending more than it can take would yield fewer replies. The pacing protects a
-    // slow, overloaded, silent or refusing counter, also with a very large number of gateways.
+    // has stopped waiting, so sending more than it can take would yield fewer replies. The pacing covers a
+    // slow, overloaded, silent or refusing counter and a very large number of gateways.
 
     /// Even share of this gateway in a figure of all gateways together.
     double gatewayShare(double ofAllGateways) const { return ofAllGateways / settings.gatewayCount; }
@@ -590,7 +603,7 @@
         return std::max(kMinRequestsPerSecondPerGateway, gatewayShare(kMinRequestsPerSecond));
     }
     /// Capacity of the token bucket. At least four, however many gateways there are.
-    double maxRequestTokens() const { return std::max(4.0, gatewayShare(kMaxRequestBurstCount)); }
+    double maxRequestTokens() const { return std::max(4.0, gatewayShare(kMaxRequestBurst)); }
 
     /// Refills the token bucket and returns whether it holds `required` tokens. If so, takes `taken` of them.
     bool tryTakeRequestTokens(double required, double taken = 1) {
@@ -601,9 +614,9 @@
         return requestTokens >= required && (requestTokens -= taken, true);
     }
 
-    /// Adapts the rate of requests after one has ended: raises it after a reply within a quarter of the
-    /// timeout, reduces it after a failure or a reply that took over half of the timeout, at most once a
-    /// timeout.
+    /// Adapts the rate of requests after one has ended: raises it after a reply within a quarter of
+    /// counterTimeout, reduces it after a failure or a reply that took over half of counterTimeout. It is
+    /// reduced at most once in a counterTimeout.
     void adjustRequestRate(bool hasReply, Duration latency) {
         isCounterFailing = !hasReply;
         if (hasReply) counterAnsweredAt = now;
@@ -638,7 +651,7 @@
     /// open cap. Where the share is below one, the gateway allows one try and then pauses in proportion (see
     /// countOpenTry()), because one try at each gateway at all times would exceed the cap by far.
     unsigned openCapShare(const Customer &customer) const {
-        return now < customer.openShareRestsUntil
+        return now < customer.openSharePausedUntil
                    ? 0
                    : std::max(1u, planOf(customer.plan).openCap / customer.subsetSize);
     }
@@ -653,9 +666,9 @@
         return count.othersUsage() * std::exp(-toMs(now - count.totalReadAt) / usualLatencyMs / 3);
     }
 
-    /// Decides whether the customer's cap on open tries may have room for one more. After the cap was
-    /// recently full only this gateway's own tries are compared here: a trusted counter then decides the call
-    /// while it is held, and without one the gateway keeps to its share.
+    /// Decides whether the customer's cap on open tries may have room for one more. If the cap was recently
+    /// full, only this gateway's own tries are compared here: with a trusted counter the call is held
+    /// afterwards until the exact number is read, and without one the limit is this gateway's share.
     bool openCapAdmits(CustomerId id, Customer &customer) {
         const Plan &plan = planOf(customer.plan);
         if (plan.openCap == 0) return true;
@@ -669,13 +682,14 @@
         return hasRoom;
     }
 
-    /// Decides the held calls that the counter's reply covers: with `total`, the number of open tries in the
-    /// reply, against the whole cap. Without a reply decides all held calls, against this gateway's share.
+    /// Decides held calls. With a reply these are the calls that the request counted, and `total`, the number
+    /// of open tries in the reply, is compared with the whole cap. Without a reply these are all held calls,
+    /// and this gateway's own tries are compared with its share of the cap.
     void decideHeldCalls(Customer &customer, bool hasReply, double total) {
         if (!hasReply) customer.heldInRequest = customer.heldCalls.size();
         const double cap = planOf(customer.plan).openCap;
         const double limit = hasReply ? cap : openCapShare(customer);
-        // Tries that are open apart from the held calls, which are included in the total and in ownOpenTries.
+        // Open tries without those of the held calls, which the total and ownOpenTries include.
         double open = hasReply ? total + othersStillOpen(customer.openCounts.previous) -
                                      static_cast<double>(customer.heldInRequest)
                                : customer.ownOpenTries - static_cast<double>(customer.heldCalls.size());
@@ -701,7 +715,8 @@
     /// Before its first reply a gateway admits its even share of the limit, but at least one call. Where many
     /// gateways serve a customer and the share is below one unit, that adds up to a multiple of the limit.
     /// The call then waits once, as the published design does for the first read of a process; later calls
-    /// are decided from the cache.
+    /// are decided from the cache. Calls with little time left don't wait, and those of plans with an open
+    /// cap are decided in decideHeldCalls().
     bool needsFirstTotals(const Customer &customer, const CallReceived &received) const {
         const Plan &plan = planOf(received.plan);
         const bool isUnknown =
@@ -710,8 +725,8 @@
                isCounterTrusted() && received.timeRemaining > 4 * settings.counterTimeout;
     }
 
-    /// Holds a call until the customer's first totals arrive, and requests them. The request adds the call's
-    /// units already; decideCallsAwaitingTotals() takes them back.
+    /// Holds a call until the customer's first totals arrive, and requests them. The request already adds the
+    /// call's units; decideCallsAwaitingTotals() subtracts them again.
     void requestFirstTotals(CustomerId id, Customer &customer, Call &call) {
         const Duration length = windowLength(planOf(customer.plan));
         customer.callsAwaitingTotals.push_back(call.call);
@@ -727,7 +742,8 @@
     void decideCallsAwaitingTotals(CustomerId id, Customer &customer) {
         const auto waiting = std::exchange(customer.callsAwaitingTotals, {});
         if (waiting.empty()) return;
-        // requestFirstTotals() has added these units. sendFirstTry() adds them again for each admitted call.
+        // requestFirstTotals() has added these units. sendFirstTry() adds those of the admitted calls once
+        // more.
         for (const CallId callId : waiting) customer.unitCounts.current.unreported -= calls.at(callId).units;
         customer.unitCounts.current.needsReport = true;
         for (const CallId callId : waiting) {
@@ -742,8 +758,8 @@
         }
     }
 
-    /// Counts the try of a call as open (`change` is 1) or no longer open (-1) if the plan has a cap, here
-    /// and at the counter. A try is taken off the count of the epoch in which it was added.
+    /// Counts the try of a call as open (`change` is 1) or no longer open (-1), here and at the counter, if
+    /// the plan has a cap. A try is subtracted from the count of the epoch in which it was added.
     void countOpenTry(Call &call, int change) {
         const auto found = customers.find(call.customer);
         if (found == customers.end() || planOf(call.plan).openCap == 0) return;
@@ -754,7 +770,7 @@
         if (change > 0) call.openEpoch = customer.openCounts.current.windowIndex;
         // With a share below one, the pause makes the average number of open tries equal to the share.
         if (change < 0)
-            customer.openShareRestsUntil = now + fromMs(std::max(0.0, 1 / share - 1) * usualLatencyMs);
+            customer.openSharePausedUntil = now + fromMs(std::max(0.0, 1 / share - 1) * usualLatencyMs);
         if (CachedCount *count = customer.openCounts.find(call.openEpoch)) {
             count->unreported += change;
             count->needsReport = true;
@@ -779,9 +795,9 @@
         }
         Call &call = calls[received.call] = {received, now, now + received.timeRemaining};
         if (awaitsTotals) return requestFirstTotals(received.customer, customer, call);
-        // After the open cap was recently full, any cached total is too old to decide. So is one that is
-        // older than a usual try where an even share of the cap is below one. The try is then counted first,
-        // and the call held for the counter's reply.
+        // If the open cap was recently full, any cached total is too old to decide. Where an even share of
+        // the cap is below one, so is a total that is older than the usual latency. In both cases the try is
+        // first counted at the counter, and the call is held until the reply decides about it.
         const CachedCount &open = customer.openCounts.current;
         const bool isTotalTooOld =
             planOf(call.plan).openCap < customer.subsetSize && toMs(now - open.totalReadAt) > usualLatencyMs;
@@ -791,6 +807,7 @@
         enqueueReport(received.customer, customer);
         customer.heldCalls.push_back(received.call);
         countOpenTry(call, 1);
+        // Without a request in flight no reply will come.
         if (!customer.openCounts.current.isRequested) decideHeldCalls(customer, false, 0);
     }
 
@@ -828,8 +845,8 @@
         if (!std::exchange(call.isHeld, false)) countOpenTry(call, 1);
     }
 
-    /// Records the outcome of a try. If the call still has no final answer, it goes through the retry queue,
-    /// which retries it or gives it up.
+    /// Records the outcome of a try. If the call still has no final answer, it joins the retry queue, which
+    /// is served at once.
     void on(const TryEnded &ended) {
         const auto worker = workers.find(ended.worker);
         if (worker != workers.end()) recordOutcome(worker->second, ended);
@@ -852,8 +869,8 @@
         serveRetryQueue();
     }
 
-    /// Corrects the units of a call whose actual cost became known by `difference`: in the estimate at once,
-    /// at the counter with the next addition.
+    /// Corrects the customer's use once the actual cost of a call is known. `difference` is the actual cost
+    /// less the stated one. The estimate is right at once, the counter with the next addition.
     void correctUnits(const Call &call, double difference) {
         const auto found = customers.find(call.customer);
         if (found == customers.end() || !hasRateQuota(planOf(call.plan))) return;
@@ -867,8 +884,8 @@
         if (const auto found = calls.find(started.call); found != calls.end()) found->second.isClosed = true;
     }
 
-    /// Cancels the call's try if that is allowed. A call that is held stays until the counter's reply, one
-    /// whose try is in flight until the try ends.
+    /// Cancels the call's try if that is allowed. The call's state is kept while a try is in flight or the
+    /// call is held.
     void on(const CallAbandoned &abandoned) {
         const auto found = calls.find(abandoned.call);
         if (found == calls.end() || std::exchange(found->second.isClosed, true)) return;
@@ -879,12 +896,11 @@
         if (!call.hasTryInFlight && !call.isHeld) calls.erase(found);
     }
 
-    /// Gives the final answer of a call that isn't tried again, as soon as that is certain. It is
-    /// rate-limited, which promises the client that repeating the call does no harm, wherever that holds;
-    /// else errored.
+    /// Gives the final answer of a call that won't be tried again. It is rate-limited if repeating the call
+    /// does no harm, as that answer guarantees, else errored.
     void giveUp(CallId id, const Call &call) {
         const RouteState &route = routes[call.route.value];
-        // The client's repeat may reach any worker.
+        // The client's repeat may be sent to any worker.
         const bool isSafeAnywhere = route.effect == Effect::idempotent || route.dedupScope == DedupScope::all;
         const bool isRepeatHarmless = isRepeatSafe(call) && (!call.mayHaveRun || isSafeAnywhere);
         isRepeatHarmless ? answerRateLimited(id, call.route) : actions.push_back(AnswerErrored{id});
@@ -894,8 +910,8 @@
     // ---- Retry queue ----
 
     /// Whether there is time for another try and the route allows one. A call that no worker has run is given
-    /// up after the first half of its time, because a later refusal costs the client more. The margin of two
-    /// ticks keeps the answer in time although the queue is served once a tick only.
+    /// up after the first half of its time, because a later refusal costs the client more. Two ticks are kept
+    /// in reserve, since a queued call may have to wait for a tick.
     bool mayRetry(const Call &call) const {
         const Timestamp latest = call.mayHaveRun
                                      ? call.deadline - 2 * kTickInterval
@@ -917,7 +933,8 @@
         return routes[call.route.value].effect == Effect::nonIdempotent;
     }
 
-    /// Whether a worker would recognize a repeat of the call if it has run, or needn't.
+    /// Whether a worker may get the next try of a call: if the call may have run and is tokened, only workers
+    /// that would recognize the repeat.
     bool isInDedupScope(const Call &call, const Worker &worker) const {
         const RouteState &route = routes[call.route.value];
         if (!call.mayHaveRun || route.effect != Effect::tokened || route.dedupScope == DedupScope::all)
@@ -926,7 +943,7 @@
                                                     : worker.entry.group == call.mayHaveRunOn.group;
     }
 
-    /// Retries each queued call for which there is a worker, and gives up those that may not be tried again.
+    /// Retries each queued call for which there is a worker, and gives up those that mayRetry() rules out.
     /// The others stay queued.
     void serveRetryQueue() {
         for (std::size_t remaining = retryQueue.size(); remaining > 0; --remaining) {
@@ -959,12 +976,14 @@
     ///
     /// Takes the first ranked worker that isn't ejected, has room within its concurrency limit, and may run
     /// the call. A first pass takes only workers below their spreadLimit, so that the tries between two
-    /// rankings spread over the workers; a second pass lifts that.
+    /// rankings spread over the workers; the second pass lifts that. A worker on probation (isOnProbation())
+    /// gets one try at a time, and no non-idempotent calls until kNonIdempotentReturnDelay is over.
     std::optional<WorkerId> pickWorker(const Call &call) {
         if (isRankingStale) rankWorkers();
-        // A call of less than average value may fill only a part of each worker's limit, but with a
-        // probability of at least kLowValueLimitFraction it may fill all of it. Because this is decided at
-        // random, calls of low value keep that part of the others' chances however long the overload lasts.
+        // A call of less than average value may fill only a part of each worker's limit, so that it gives way
+        // when workers are busy. With a probability of at least kLowValueLimitFraction it may fill all of the
+        // limit. Thus calls of low value keep at least that fraction of the others' chances, however long an
+        // overload lasts.
         const double usableFraction =
             randomFraction() < std::max(kLowValueLimitFraction, valuePerMs(call) / recentValuesPerMs.mean(1))
                 ? 1
@@ -984,8 +1003,9 @@
                      now < ejectedUntil + kNonIdempotentReturnDelay) ||
                     !isInDedupScope(call, *worker))
                     continue;
-                // A limit below one is kept by a pause after each try: one try of each gateway at all times
-                // would be too many.
+                // A limit below one is kept by a pause after each try, since one try of each gateway at all
+                // times would be too many. The pause is such that the average number of tries in flight
+                // equals the limit. 1e-3 prevents a division by zero.
                 const double limit =
                     std::min(isProbation ? 1 : ownConcurrencyLimit(*worker), warmUpLimit(*worker)) *
                     usableFraction;
@@ -998,10 +1018,10 @@
         return std::nullopt;
     }
 
-    /// Rebuilds readyWorkers after the list of workers changed: workers of this gateway's zone first, then by
-    /// a hash of gateway and worker. Each gateway thus has an order of its own and uses its first workers,
-    /// about as many as it sends tries a second (see wantedWorkerCount()). So it gets a recent result of each
-    /// of them, and all gateways together cover the fleet.
+    /// Rebuilds readyWorkers after the list of workers changed: workers of this gateway's zone first, within
+    /// a zone by a hash of gateway and worker. Thus each gateway has an order of its own. It uses the first
+    /// workers of that order, about as many as it sends tries a second (see wantedWorkerCount()), so that it
+    /// gets frequent results of each of them. The subsets of all gateways together cover the fleet.
     void rebuildWorkerOrder() {
         readyWorkers.clear();
         for (auto &[id, worker] : workers)
@@ -1015,9 +1035,11 @@
         rankWorkers();
     }
 
-    /// Number of healthy warm workers that this gateway uses: the number of tries that it sends a second.
+    /// Number of healthy warm workers that this gateway should use: as many as it sends tries a second, but
+    /// at least kMinUsedWorkerCount. Until gaps between tries are measured, one try a second is assumed. 1e-3
+    /// prevents a division by zero.
     double wantedWorkerCount() const {
-        return std::max(kMinWorkersPerGatewayCount, 1000 / std::max(1e-3, recentSendGapsMs.mean(1000)));
+        return std::max(kMinUsedWorkerCount, 1000 / std::max(1e-3, recentSendGapsMs.mean(1000)));
     }
 
     /// Estimated number of gateways that use the same warm worker. When most of the fleet turns cold, each of
@@ -1048,6 +1070,7 @@
             rankedWorkers.push_back(worker);
             healthyCount += now >= worker->ejectedUntil && !isCold(*worker) &&
                             std::ranges::none_of(worker->healthByRoute, isFailing);
+            // Bounded, so that a few extreme latencies don't decide the rank alone.
             const double slowness = std::clamp(worker->relativeLatencies.mean(1), 0.25, 4.0);
             worker->rankKey = slowness * (1 + worker->triesInFlight) +
                               (worker->entry.zone == settings.zone ? 0 : kOtherZonePenaltyFraction);
@@ -1070,9 +1093,10 @@
         isRankingStale = false;
     }
 
-    /// Adapts a worker's concurrency limit to the latency of an answer. A slow answer reduces it, at most
-    /// once within the time that counts as slow. A fast one raises it if at least 70% of the limit is in use,
-    /// by an amount that adds one try for each gateway once all tries in flight have been answered.
+    /// Adapts a worker's concurrency limit to the latency of an answer (additive increase, multiplicative
+    /// decrease). A slow answer reduces it by 30%, at most once within the time that counts as slow. A fast
+    /// one raises it if this gateway uses at least 70% of its part, by an amount that adds about one try to
+    /// that part once as many answers have arrived as it allows tries.
     void adjustConcurrencyLimit(Worker &worker, double latencyMs, double targetMs) {
         if (latencyMs > kSlowLatencyFraction * targetMs) {
             if (toMs(now - worker.limitReducedAt) > kSlowLatencyFraction * targetMs) {
@@ -1092,8 +1116,9 @@
         return health.failures.size() >= kMinHealthSampleCount && health.failures.mean(0) > kFailingFraction;
     }
 
-    /// Whether a worker fails on a route while others don't. Once its ejection is over, it gets one try at a
-    /// time until enough of them are answered, like a half-open circuit breaker.
+    /// Whether a worker fails on a route on which most others don't. Such a worker is ejected after each
+    /// failure. When the ejection is over, it gets one try at a time until enough of them are answered, like
+    /// a half-open circuit breaker.
     bool isOnProbation(const Worker &worker, RouteId route) const {
         return !routes[route.value].isFailureCommon && isFailing(worker.healthByRoute[route.value]);
     }
@@ -1119,6 +1144,8 @@
             worker.relativeLatencies.add(toMs(ended.latency) / std::max(0.1, route.latenciesMs.mean(1)));
             adjustConcurrencyLimit(worker, toMs(ended.latency), toMs(route.latencyTarget));
         } else if (ended.outcome == Outcome::overloaded) {
+            // The worker is at its limit with fewer tries than allowed, so the limit starts from the tries in
+            // flight.
             worker.concurrencyLimit = std::max(
                 1.0, 0.7 * std::min(worker.concurrencyLimit, worker.triesInFlight * gatewaysPerWorker()));
             worker.ejectedUntil = std::max(worker.ejectedUntil, now + kEjectionBase / 2);
@@ -1131,18 +1158,19 @@
             // connections, or resets several in a row.
             worker.connectionFailures += isConnectionFailure;
             if (worker.connectionFailures > (ended.outcome == Outcome::connectFailed ? 0 : 1))
-                worker.ejectedUntil = now + kEjectionBase * std::min(worker.connectionFailures, 16);
+                worker.ejectedUntil =
+                    now + kEjectionBase * std::min(worker.connectionFailures, 16);  // up to 4 s
         }
-        // The pause that keeps a limit below one also starts at an overloaded reply. Otherwise all gateways
-        // would come back to the worker's full queue at once.
+        // The pause that keeps a limit below one (see pickWorker()) starts at an overloaded reply too.
+        // Otherwise all gateways would come back to the worker's full queue at once.
         const bool hasReply = ended.outcome == Outcome::answered || ended.outcome == Outcome::errored;
         if (hasReply || ended.outcome == Outcome::overloaded) worker.lastReplyAt = now;
     }
 
-    /// Cancels tries that their worker seems to have lost: a connection can fall silent while its worker goes
-    /// on. A try is cancelled when the worker's last four answers were all to tries sent later, and it is
-    /// overdue for the size of its call, at the latest at the latency target. A non-idempotent call can't be
-    /// tried again and is given the whole time up to the target.
+    /// Cancels tries that are probably lost: a connection can stop delivering while its worker still answers
+    /// on others. A try is cancelled when the worker's last four answers were all to tries sent after it, and
+    /// it has taken far too long for the size of its call (kOverdueLatencyFactor) or reached the latency
+    /// target. A non-idempotent call can't be tried again, so it is given the whole time up to the target.
     void cancelOvertakenTries() {
         for (auto &[id, call] : calls) {
             const auto worker = workers.find(call.lastWorker);
@@ -1153,7 +1181,7 @@
                                      routes[call.route.value].latenciesMs.mean(toMs(target));
             if (now - call.sentAt < (isNonIdempotent(call) ? target : std::min(target, fromMs(overdueMs))))
                 continue;
-            // Answers that haven't been given yet stand as 0 among the samples, so four are needed.
+            // Samples that were not added yet are 0, so all four answers are needed.
             call.isTryCancelled =
                 std::ranges::min(worker->second.answeredTriesSentAtMs.samples) > toMs(call.sentAt);
             if (call.isTryCancelled)
@@ -1170,12 +1198,12 @@
     /// Number of tries that this gateway may have in flight at a worker, with regard to its warm-up. For a
     /// warm worker that is ownConcurrencyLimit().
     ///
-    /// A cold worker crashes when too much work is sent to it within coldOverloadWindow. It can't finish more
-    /// than its capacity allows, so a bound on the work in flight bounds the work sent: all gateways together
-    /// may have (coldOverloadFactor - 1) * capacity * coldOverloadWindow in flight, counted as if the worker
-    /// had a single core. Where an even share of that is below one try, gateways take turns by index. A turn
-    /// lasts one coldOverloadWindow and covers half of the allowed tries, one for each gateway, because any
-    /// period of that length overlaps two turns.
+    /// A cold worker crashes when too much work is sent to it within coldOverloadWindow. The work sent in a
+    /// window is at most what the worker finishes in it, which its capacity bounds, plus the work in flight.
+    /// So all gateways together may have (coldOverloadFactor - 1) * capacity * coldOverloadWindow of work in
+    /// flight, where the worker is taken to have a single core. Where a gateway's even share of that is below
+    /// one try, the gateways take turns by index. A turn lasts one coldOverloadWindow and gives half of the
+    /// allowed tries, one to a gateway, because any period of that length can overlap two turns.
     double warmUpLimit(const Worker &worker) const {
         if (!isCold(worker)) return ownConcurrencyLimit(worker);
         const double warmUpFraction =
@@ -1184,7 +1212,7 @@
             settings.coldCapacityFraction + (1 - settings.coldCapacityFraction) * warmUpFraction;
         const double allowedTries = (settings.coldOverloadFactor - 1) * capacity *
                                     toMs(settings.coldOverloadWindow) / usualServiceTimeMs;
-        if (allowedTries >= settings.gatewayCount || settings.gatewayCount < kMinGatewaysForTurnsCount) {
+        if (allowedTries >= settings.gatewayCount || settings.gatewayCount < kMinGatewayCountForTurns) {
             return std::max(1.0, std::floor(allowedTries / settings.gatewayCount));
         }
         const auto turn =
@@ -1195,7 +1223,7 @@
         return position % settings.gatewayCount < gatewaysPerTurn ? 1 : 0;
     }
 
-    // ---- List of workers, periodic work, events without effect ----
+    // ---- Updates of the list of workers, the periodic tick, ignored events ----
 
     /// Updates the workers from discovery's list.
     void on(const WorkerListUpdated &update) {
@@ -1204,7 +1232,7 @@
             if (update.kind != WorkerListKind::delta) worker.entry.state = WorkerState::gone;
         for (const WorkerEntry &entry : update.workers) {
             Worker &worker = workers[entry.worker];
-            // A different start time means another process, to which nothing measured so far applies.
+            // A different start time means another process: nothing that was measured before applies to it.
             if (worker.entry.startedAt != entry.startedAt) worker = {.triesInFlight = worker.triesInFlight};
             worker.entry = entry;
             worker.healthByRoute.resize(routes.size());
@@ -1215,14 +1243,15 @@
             if (worker.relativeLatencies.size() == 0) worker.concurrencyLimit = kInitialConcurrencyLimit;
     }
 
-    /// The periodic tick.
+    /// Does the periodic work of a tick.
     void on(const TimerFired &fired) {
         if (fired.token != kTickToken) return;
         actions.push_back(SetTimer{now + kTickInterval, kTickToken});
         isRankingStale = true;
         cancelOvertakenTries();
         if (!retryQueue.empty()) serveRetryQueue();
-        // No call is held for longer than two counter timeouts, whatever delays the counter's reply.
+        // No call is held for longer than two counter timeouts, for whatever reason the counter's reply is
+        // late.
         std::vector<CustomerId> overdue;
         for (const auto &[id, call] : calls)
             if (call.isHeld && now - call.receivedAt > 2 * settings.counterTimeout)
@@ -1235,14 +1264,15 @@
         evictIdleCustomers();
     }
 
-    /// Sends reports of queued customers, by urgency among the first of the queue, as far as the pace allows.
-    /// While the counter takes fewer requests than there are admitted calls, the queue would grow without
-    /// end, and each tick with it. So a tick examines a limited number of customers, and those leave the
-    /// queue whose counts belong to windows that no estimate reads any more.
+    /// Takes a limited number of customers from the front of the report queue and reports them by urgency, as
+    /// far as the pace allows. The others are queued again, except those whose counts belong to windows that
+    /// no estimate reads any more. Without these two bounds the queue, and the work of each tick, would grow
+    /// for as long as the counter takes fewer requests than there are admitted calls.
     void serveReportQueue() {
+        // Only refills the token bucket.
         tryTakeRequestTokens(0, 0);
         std::vector<std::pair<double, CustomerId>> candidates;
-        for (std::size_t remaining = std::min(reportQueue.size(), kQueuedReportsPerTickCount); remaining > 0;
+        for (std::size_t remaining = std::min(reportQueue.size(), kMaxQueueChecksPerTick); remaining > 0;
              --remaining) {
             const CustomerId id = reportQueue.front();
             reportQueue.pop_front();
@@ -1253,9 +1283,9 @@
         std::ranges::stable_sort(candidates, {}, [](const auto &candidate) { return candidate.first; });
         for (const auto &[negatedUrgency, id] : candidates) {
             Customer &customer = customers.at(id);
-            // reportAllCounts() queues the customer itself if the tokens run out before all is sent. isQueued
-            // must be right before that: a customer that is in the queue twice could be evicted while its
-            // second entry remains there.
+            // Without a token the customer is queued again. Otherwise isQueued must be false here, because
+            // reportAllCounts() queues the customer itself if the tokens run out halfway. A customer must not
+            // be queued twice, since it could be evicted while its second entry is still in the queue.
             customer.isQueued = !tryTakeRequestTokens(1, 0);
             customer.isQueued ? reportQueue.push_back(id)
                               : reportAllCounts(id, customer, ReportReason::queueTurn);
@@ -1263,8 +1293,8 @@
         }
     }
 
-    /// Whether the customer has held calls or counts to report, after its windows were moved on to the
-    /// present.
+    /// Moves the customer's windows on to the present and returns whether it then has held calls or counts to
+    /// report.
     bool hasPendingReports(CustomerId id, Customer &customer) {
         advanceQuota(id, customer);
         customer.openCounts.advanceTo(shiftedNow(id, kOpenCountEpoch) / kOpenCountEpoch);
@@ -1274,8 +1304,9 @@
     }
 
     /// Removes customers that have made no call for two windows. Each tick examines about a hundredth of all
-    /// customers. One with a ceiling stays for as long as its share of the ceiling may take to fill:
-    /// afterwards a new entry has the same, full share, so that removing the old one gives nothing back.
+    /// customers. A customer with a ceiling also stays until its share of the ceiling had time to fill: a new
+    /// entry starts with a share that has filled since the gateway's start, so from then on both are equally
+    /// full.
     void evictIdleCustomers() {
         for (std::size_t remaining = 1 + customers.size() / 100; remaining > 0 && !customers.empty();
              --remaining) {
