--- a/src/decision_engine.cpp
+++ b/src/decision_engine.cpp
@@ -84,10 +84,10 @@
 constexpr double kInitialConcurrencyLimit = 6;
 /// Maximum increase of a worker's concurrency limit after one answer, for all gateways together.
 constexpr double kMaxLimitIncrease = 4;
-/// Penalty on a worker's rank for being in another zone, as a fraction of the usual latency.
+/// Penalty in the ranking for workers of other zones, as a fraction of the route's mean latency.
 constexpr double kOtherZonePenaltyFraction = 0.15;
-/// Fraction of a worker's concurrency limit that a call of low value may fill when it is held back, and the
-/// minimum probability that it isn't held back.
+/// Fraction of a worker's concurrency limit that a call of low value may fill when it is restricted, and the
+/// minimum probability that it isn't restricted. See pickWorker().
 constexpr double kLowValueLimitFraction = 0.6;
 /// Fraction of a route's latency target. An answer that took longer counts as slow and reduces the worker's
 /// concurrency limit.
@@ -115,7 +115,6 @@
 /// fewer gateways each may always have one try there.
 constexpr std::size_t kMinGatewayCountForTurns = 8;
 
-/// Returns milliseconds.
 double toMs(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
 
 Duration fromMs(double durationMs) { return Duration{std::llround(durationMs * 1000)}; }
@@ -166,7 +165,7 @@
     /// Tries in flight up to which pickWorker() fills this worker in its first pass: their number at the last
     /// ranking plus one.
     double spreadLimit = 1;
-    double rankKey = 1;                      ///< the worker with the lowest key is tried first
+    double rankKey = 1;                      ///< expected relative latency; the lowest is tried first
     RecentSamples<16> relativeLatencies;     ///< of its answers, divided by the mean latency of the route
     RecentSamples<4> answeredTriesSentAtMs;  ///< when the last tries that it answered had been sent
     Timestamp ejectedUntil{};                ///< for all routes
