--- a/src/net/core/http.cpp
+++ b/src/net/core/http.cpp
@@ -12,23 +12,23 @@
 
 bool HttpResponseParser::parse(std::string_view bytes) {
     if (bytes.empty()) return true;
-    http_parser_settings told{};
-    told.on_body = onBody;
-    told.on_message_complete = onMessageComplete;
-    return http_parser_execute(&parser_, &told, bytes.data(), bytes.size()) == bytes.size() &&
+    http_parser_settings callbacks{};
+    callbacks.on_body = onBody;
+    callbacks.on_message_complete = onMessageComplete;
+    return http_parser_execute(&parser_, &callbacks, bytes.data(), bytes.size()) == bytes.size() &&
            HTTP_PARSER_ERRNO(&parser_) == HPE_OK;
 }
 
 int HttpResponseParser::onBody(http_parser *parser, const char *at, std::size_t size) {
     auto &self = *static_cast<HttpResponseParser *>(parser->data);
-    if (self.current_.body.size() + size > self.maxBodyBytes_) return 1;
+    if (self.current_.body.size() + size > self.maxBodyBytes_) return 1;  // stops the parser with an error
     self.current_.body.append(at, size);
     return 0;
 }
 
 int HttpResponseParser::onMessageComplete(http_parser *parser) {
     auto &self = *static_cast<HttpResponseParser *>(parser->data);
-    if (parser->status_code / 100 == 1) {  // ahead of the answer, not the answer
+    if (parser->status_code / 100 == 1) {  // interim response; the final one follows
         self.current_ = {};
         return 0;
     }
--- a/src/net/core/metrics.hpp
+++ b/src/net/core/metrics.hpp
@@ -1,3 +1,5 @@
+/// \file
+/// Counters of a gateway's activity, shown by the command `INFO` and in the log.
 #pragma once
 
 #include <cstdint>
@@ -5,19 +7,46 @@
 
 namespace arrowstile {
 
-/// What a gatekeeper has taken in, sent and answered since its start.
+/// What a gateway has received, sent and answered since its start. The counters only increase.
 struct Metrics {
-    std::uint64_t clientsAccepted = 0, clientsTurnedAway = 0, clientsLetGo = 0, badCommands = 0;
-    std::uint64_t callsTaken = 0, callsProxied = 0, callsRateLimited = 0, callsErrored = 0,
-                  callsAbandoned = 0;
-    std::uint64_t triesSent = 0, triesAnswered = 0, triesErrored = 0, triesFull = 0, triesTimedOut = 0;
-    std::uint64_t triesUnconnected = 0, triesReset = 0, triesCalledOff = 0, triesNotSent = 0,
-                  repliesSpoilt = 0;
-    std::uint64_t workerConnections = 0, countsSent = 0, countsAnswered = 0, countsLost = 0;
-    std::uint64_t counterConnections = 0, lists = 0, watches = 0, peerMessagesIn = 0, peerMessagesOut = 0;
-    std::uint64_t reloads = 0;
-
-    /// One "name:value" a line.
+    std::uint64_t clientsAccepted = 0;
+    std::uint64_t clientsTurnedAway = 0;  ///< connections closed at once for lack of room
+    /// Connections closed to make room for others, or because the client was silent for too long.
+    std::uint64_t clientsLetGo = 0;
+    std::uint64_t badCommands = 0;  ///< malformed, unknown or invalid commands
+
+    std::uint64_t callsTaken = 0;        ///< API calls that passed all checks and await a final answer
+    std::uint64_t callsProxied = 0;      ///< final answers that came from a worker
+    std::uint64_t callsRateLimited = 0;  ///< final answers, with those for lack of memory for a body
+    std::uint64_t callsErrored = 0;      ///< final answers
+    std::uint64_t callsAbandoned = 0;    ///< calls whose client disconnected before the final answer
+
+    /// The counters of tries include probes.
+    std::uint64_t triesSent = 0;
+    std::uint64_t triesAnswered = 0;
+    std::uint64_t triesErrored = 0;
+    std::uint64_t triesFull = 0;  ///< rejected by the worker (Outcome::overloaded)
+    std::uint64_t triesTimedOut = 0;
+    std::uint64_t triesUnconnected = 0;  ///< not delivered to the worker (Outcome::connectFailed)
+    std::uint64_t triesReset = 0;
+    std::uint64_t triesCalledOff = 0;  ///< cancelled by the gateway
+    std::uint64_t triesNotSent = 0;    ///< not attempted; not part of triesSent
+    /// Connections to workers closed with a try on them because of an invalid, unexpected or oversized reply.
+    std::uint64_t repliesSpoilt = 0;
+
+    std::uint64_t workerConnections = 0;   ///< connections to workers that were started
+    std::uint64_t countsSent = 0;          ///< requests to the counter
+    std::uint64_t countsAnswered = 0;      ///< requests to the counter that returned a total
+    std::uint64_t countsLost = 0;          ///< requests to the counter that ended in any other way
+    std::uint64_t counterConnections = 0;  ///< connections to the counter that were started
+    std::uint64_t lists = 0;               ///< lists of workers received from discovery
+    std::uint64_t watches = 0;             ///< requests to discovery that wait for a change of the list
+    std::uint64_t peerMessagesIn = 0;
+    std::uint64_t peerMessagesOut = 0;
+    std::uint64_t reloads = 0;  ///< start documents read again and put into effect
+
+    /// Returns one line `name:value` for each counter, ended by CR LF. The names are an interface for
+    /// operators' tools, so they stay as they are even where a field is renamed.
     std::string toText() const;
 };
 
--- a/src/net/core/resource_limits.cpp
+++ b/src/net/core/resource_limits.cpp
@@ -5,23 +5,28 @@
 namespace arrowstile {
 namespace {
 
-// Loop, signals, listener, discovery old and new, peers, start document and standard streams, some to spare.
-constexpr std::size_t ownSockets = 24, fewestSockets = 48;
-constexpr std::size_t mostCounters = 31;  // the counter resets what is beyond 32
+/// For the event loop, signals, the listener, discovery (its old and its new connection), peers, the start
+/// document and the standard streams, with some to spare.
+constexpr std::size_t kReservedSocketCount = 24;
+constexpr std::size_t kMinSocketCount = 48;
+constexpr std::size_t kMaxCounterConnectionCount = 31;  // the counter resets connections beyond 32
 
 }  // namespace
 
 ResourceLimits::ResourceLimits(unsigned maxSockets, unsigned maxMemoryMb) {
-    const std::size_t all = std::max<std::size_t>(maxSockets, fewestSockets) - ownSockets;
-    const std::size_t memory = std::max<std::size_t>(maxMemoryMb, 8) * 1024 * 1024;
-    maxCounterConnections = std::clamp<std::size_t>(all / 12, 4, mostCounters);
-    maxClientConnections = (all - maxCounterConnections) * 3 / 5;
+    const std::size_t usableSockets =
+        std::max<std::size_t>(maxSockets, kMinSocketCount) - kReservedSocketCount;
+    const std::size_t memoryBytes = std::max<std::size_t>(maxMemoryMb, 8) * 1024 * 1024;
+    maxCounterConnections = std::clamp<std::size_t>(usableSockets / 12, 4, kMaxCounterConnectionCount);
+    maxClientConnections = (usableSockets - maxCounterConnections) * 3 / 5;
     maxNonCallingClients = maxClientConnections / 3;
-    maxCallingClients = std::min<std::size_t>(
-        maxSockets / 4, maxClientConnections - maxNonCallingClients);  // clients may hold a third for calls
-    maxWorkerConnections = all - maxCounterConnections - maxClientConnections;
-    maxBufferedBytesPerKind = memory / 10;
-    maxReplyValueBytes = memory / 64;
+    // Clients may hold up to a third of the gateway's sockets open for calls. A quarter stays under that, so
+    // that idle connections are closed before a client has to wait for one to end.
+    maxCallingClients = std::min<std::size_t>(maxSockets / 4, maxClientConnections - maxNonCallingClients);
+    maxWorkerConnections = usableSockets - maxCounterConnections - maxClientConnections;
+    maxBufferedBytesPerKind = memoryBytes / 10;
+    maxReplyValueBytes = memoryBytes / 64;
+    // At least two of the longest values: one is passed on while another waits.
     maxUnsentBytesPerClient =
         std::max(2 * maxReplyValueBytes, std::min<std::size_t>(maxBufferedBytesPerKind / 2, 2 * 1024 * 1024));
 }
--- a/src/net/core/resource_limits.hpp
+++ b/src/net/core/resource_limits.hpp
@@ -1,22 +1,30 @@
+/// \file
+/// Limits on connections and buffered bytes of one gateway.
 #pragma once
 
 #include <cstddef>
 
 namespace arrowstile {
 
-/// What this gatekeeper may hold at once. All of it follows from the descriptors and the memory that the
-/// start document states, so that the smallest machine is safe and the largest is used.
+/// Limits that keep one gateway within the sockets and the memory of its machine. They are all derived from
+/// the start document's `limits`, so that a small machine isn't overloaded and a large one is fully used.
 struct ResourceLimits {
+    /// Values of `maxSockets` under 48 count as 48, values of `maxMemoryMb` (MiB) under 8 as 8.
     ResourceLimits(unsigned maxSockets, unsigned maxMemoryMb);
 
-    std::size_t maxClientConnections,
-        maxNonCallingClients;       ///< connections; of them those that never sent an API call
-    std::size_t maxCallingClients;  ///< of them those that did, while some of these are idle
-    std::size_t maxWorkerConnections, maxCounterConnections;  ///< connections
-    std::size_t maxBufferedBytesPerKind;  ///< bytes: for bodies kept, answers not fetched, commands begun,
-                                          ///< replies begun
-    std::size_t maxReplyValueBytes;       ///< of a worker's reply
-    std::size_t maxUnsentBytesPerClient;  ///< bytes that one client may leave with us
+    std::size_t maxClientConnections;
+    /// Those of the client connections that have never sent an API call.
+    std::size_t maxNonCallingClients;
+    /// Those of the client connections that have sent an API call. Above this number the one idle longest is
+    /// closed; as long as none is idle, there may be more.
+    std::size_t maxCallingClients;
+    std::size_t maxWorkerConnections;
+    std::size_t maxCounterConnections;
+    /// Total bytes over all connections, separately for each of these kinds: bodies of pending calls, answers
+    /// not yet sent to clients, incomplete commands, incomplete replies of workers.
+    std::size_t maxBufferedBytesPerKind;
+    std::size_t maxReplyValueBytes;       ///< longest value in a worker's reply
+    std::size_t maxUnsentBytesPerClient;  ///< answers that one client hasn't received yet
 };
 
 }  // namespace arrowstile
