--- a/src/net/core/discovery_update.cpp
+++ b/src/net/core/discovery_update.cpp
@@ -7,17 +7,20 @@
 namespace arrowstile {
 namespace {
 
-constexpr std::int64_t latestMs = 1ll << 50;  // far off, and no overflow in microseconds
+// Latest start of a worker, Unix time: far in the future, and still without overflow in microseconds.
+constexpr std::int64_t kMaxStartMs = 1ll << 50;
 
-template <class Place>
-Place placeOf(const std::vector<std::string> &names, const std::string &name) {
+/// Position of `name` in `names`; 0 if it isn't one of them.
+template <class Index>
+Index indexOf(const std::vector<std::string> &names, const std::string &name) {
     const auto found = std::find(names.begin(), names.end(), name);
-    return Place{static_cast<decltype(Place{}.value)>(found == names.end() ? 0 : found - names.begin())};
+    return Index{static_cast<decltype(Index{}.value)>(found == names.end() ? 0 : found - names.begin())};
 }
 
-WorkerState stateOf(const std::string &word) {
-    if (word == "Ready") return WorkerState::ready;
-    return word == "Gone" ? WorkerState::gone : WorkerState::draining;
+/// Every status but `Ready` and `Gone` means that the worker is about to leave.
+WorkerState stateOf(const std::string &status) {
+    if (status == "Ready") return WorkerState::ready;
+    return status == "Gone" ? WorkerState::gone : WorkerState::draining;
 }
 
 }  // namespace
@@ -31,43 +34,44 @@
     return idsByName_[name] = WorkerId{hash};
 }
 
-/// Names of workers that are gone are not kept: on a long day new ones go on coming. One that comes back gets
-/// the same id again, from its name.
-void DiscoveryParser::removeGoneWorkers(const DiscoveryUpdate &news) {
+/// Removes the names of workers that are gone. New workers keep appearing for as long as the gateway runs, so
+/// the maps would grow without bound. A worker that comes back gets the same id again, from its name.
+void DiscoveryParser::removeGoneWorkers(const DiscoveryUpdate &update) {
     std::set<WorkerId> listed, gone;
-    for (const DiscoveredWorker &target : news.workers)
-        (target.entry.state == WorkerState::gone ? gone : listed).insert(target.entry.worker);
-    std::erase_if(namesById_, [&](const auto &one) {
-        return gone.contains(one.first) || (news.isSnapshot && !listed.contains(one.first));
+    for (const DiscoveredWorker &worker : update.workers)
+        (worker.entry.state == WorkerState::gone ? gone : listed).insert(worker.entry.worker);
+    std::erase_if(namesById_, [&](const auto &known) {
+        return gone.contains(known.first) || (update.isSnapshot && !listed.contains(known.first));
     });
-    std::erase_if(idsByName_, [&](const auto &one) { return !namesById_.contains(one.second); });
+    std::erase_if(idsByName_, [&](const auto &known) { return !namesById_.contains(known.second); });
 }
 
 DiscoveryUpdate DiscoveryParser::parse(std::string_view text) {
     using nlohmann::json;
-    DiscoveryUpdate news;
+    DiscoveryUpdate update;
     try {
-        const json all = json::parse(text);
-        news.version = all.at("index").get<std::uint64_t>();
-        news.isSnapshot = all.value("snapshot", false);
-        for (const json &one : all.at("endpoints")) {
-            DiscoveredWorker target;
-            target.entry.worker = idOf(one.at("name").get<std::string>());
-            target.address = one.value("address", "");
-            target.entry.zone = placeOf<ZoneId>(settings_.zoneNames, one.value("zone", ""));
-            target.entry.type = placeOf<WorkerTypeId>(settings_.workerTypeNames, one.value("type", ""));
-            target.entry.group.value = static_cast<std::uint16_t>(one.value("group", 0u));
-            target.entry.state = stateOf(one.value("status", ""));
-            target.entry.weight = one.value("weight", 1.0);
-            const auto since = std::clamp<std::int64_t>(one.value("since_ms", std::int64_t{0}), 0, latestMs);
-            target.entry.startedAt = std::chrono::milliseconds(since);
-            news.workers.push_back(std::move(target));
+        const json document = json::parse(text);
+        update.version = document.at("index").get<std::uint64_t>();
+        update.isSnapshot = document.value("snapshot", false);
+        for (const json &endpoint : document.at("endpoints")) {
+            DiscoveredWorker worker;
+            worker.entry.worker = idOf(endpoint.at("name").get<std::string>());
+            worker.address = endpoint.value("address", "");
+            worker.entry.zone = indexOf<ZoneId>(settings_.zoneNames, endpoint.value("zone", ""));
+            worker.entry.type = indexOf<WorkerTypeId>(settings_.workerTypeNames, endpoint.value("type", ""));
+            worker.entry.group.value = static_cast<std::uint16_t>(endpoint.value("group", 0u));
+            worker.entry.state = stateOf(endpoint.value("status", ""));
+            worker.entry.weight = endpoint.value("weight", 1.0);
+            const auto startMs =
+                std::clamp<std::int64_t>(endpoint.value("since_ms", std::int64_t{0}), 0, kMaxStartMs);
+            worker.entry.startedAt = std::chrono::milliseconds(startMs);
+            update.workers.push_back(std::move(worker));
         }
-        removeGoneWorkers(news);
+        removeGoneWorkers(update);
     } catch (const json::exception &error) {
         throw ConfigError(std::string("list of workers: ") + error.what());
     }
-    return news;
+    return update;
 }
 
 }  // namespace arrowstile
--- a/src/net/core/discovery_update.hpp
+++ b/src/net/core/discovery_update.hpp
@@ -1,3 +1,5 @@
+/// \file
+/// Parses the lists of workers that discovery sends.
 #pragma once
 
 #include <arrowstile/events.hpp>
@@ -8,33 +10,39 @@
 
 namespace arrowstile {
 
-/// One worker as the list names it; where it is reached may differ between gatekeepers.
+/// One worker in discovery's list.
 struct DiscoveredWorker {
     WorkerEntry entry;
+    /// `IPV4:PORT`, not checked; empty if the list states none. Kept apart from the entry, as different
+    /// gateways may reach a worker at different addresses.
     std::string address;
 };
 
+/// A list of workers: all of them (a snapshot), or only those that changed (a delta).
 struct DiscoveryUpdate {
-    std::uint64_t version = 0;
+    std::uint64_t version = 0;  ///< discovery's version of the list
     bool isSnapshot = false;
     std::vector<DiscoveredWorker> workers;
 };
 
-/// Reads discovery's lists. A worker's id comes from its name alone, so that all gatekeepers give it the same
-/// one, also after a restart.
+/// Parses the lists and assigns the workers' ids. An id is a hash of the worker's name, so that all gateways
+/// give a worker the same id, also after a restart. Where two names share a hash, the one seen later gets the
+/// next free id.
 class DiscoveryParser {
 public:
+    /// `settings` must outlive the parser.
     explicit DiscoveryParser(const Settings &settings) : settings_(settings) {}
 
-    /// Throws ConfigError on what is no such list.
+    /// Parses the JSON text of a list. Throws ConfigError on malformed JSON, a missing `index`, `endpoints`
+    /// or `name`, and a value of the wrong type.
     DiscoveryUpdate parse(std::string_view text);
 
-    /// How many names are kept.
+    /// Number of workers whose names are kept: those that were listed and are not gone.
     std::size_t knownWorkerCount() const { return namesById_.size(); }
 
 private:
     WorkerId idOf(const std::string &name);
-    void removeGoneWorkers(const DiscoveryUpdate &news);
+    void removeGoneWorkers(const DiscoveryUpdate &update);
 
     const Settings &settings_;
     std::map<std::string, WorkerId> idsByName_;
--- a/src/net/core/metrics.hpp
+++ b/src/net/core/metrics.hpp
@@ -11,17 +11,18 @@
 struct Metrics {
     std::uint64_t clientsAccepted = 0;
     std::uint64_t clientsTurnedAway = 0;  ///< connections closed at once for lack of room
-    /// Connections closed to make room for others, or because the client was silent for too long.
+    /// Connections closed to make room or free memory for others, or because a client was silent for too
+    /// long.
     std::uint64_t clientsLetGo = 0;
     std::uint64_t badCommands = 0;  ///< malformed, unknown or invalid commands
 
-    std::uint64_t callsTaken = 0;        ///< API calls that passed all checks and await a final answer
+    std::uint64_t callsTaken = 0;        ///< API calls accepted, each of them owed a final answer
     std::uint64_t callsProxied = 0;      ///< final answers that came from a worker
-    std::uint64_t callsRateLimited = 0;  ///< final answers, with those for lack of memory for a body
+    std::uint64_t callsRateLimited = 0;  ///< final answers; those for lack of memory are not in callsTaken
     std::uint64_t callsErrored = 0;      ///< final answers
     std::uint64_t callsAbandoned = 0;    ///< calls whose client disconnected before the final answer
 
-    /// The counters of tries include probes.
+    // All counters of tries include probes.
     std::uint64_t triesSent = 0;
     std::uint64_t triesAnswered = 0;
     std::uint64_t triesErrored = 0;
@@ -31,7 +32,8 @@
     std::uint64_t triesReset = 0;
     std::uint64_t triesCalledOff = 0;  ///< cancelled by the gateway
     std::uint64_t triesNotSent = 0;    ///< not attempted; not part of triesSent
-    /// Connections to workers closed with a try on them because of an invalid, unexpected or oversized reply.
+    /// Connections to workers closed with a try on them, because the reply was invalid, unexpected or too
+    /// long, or was the longest incomplete one when memory was short.
     std::uint64_t repliesSpoilt = 0;
 
     std::uint64_t workerConnections = 0;   ///< connections to workers that were started
@@ -39,7 +41,7 @@
     std::uint64_t countsAnswered = 0;      ///< requests to the counter that returned a total
     std::uint64_t countsLost = 0;          ///< requests to the counter that ended in any other way
     std::uint64_t counterConnections = 0;  ///< connections to the counter that were started
-    std::uint64_t lists = 0;               ///< lists of workers received from discovery
+    std::uint64_t lists = 0;               ///< valid lists of workers from discovery
     std::uint64_t watches = 0;             ///< requests to discovery that wait for a change of the list
     std::uint64_t peerMessagesIn = 0;
     std::uint64_t peerMessagesOut = 0;
--- a/src/net/core/pending_calls.hpp
+++ b/src/net/core/pending_calls.hpp
@@ -1,3 +1,6 @@
+/// \file
+/// The API calls that still owe their client a final answer, the order of answers on a client's connection,
+/// and the encoding of final answers.
 #pragma once
 
 #include <deque>
@@ -11,59 +14,73 @@
 
 namespace arrowstile {
 
+/// A client's connection.
 using ClientId = Id<struct ClientTag, std::uint64_t>;
+/// Position of an answer among all answers of one connection, counted from 0.
 using AnswerSlot = Id<struct AnswerSlotTag, std::uint64_t>;
 
-/// The answers of one connection leave in the order of its commands, whenever they are ready.
+/// Puts the answers of one connection into the order of its commands, whatever the order in which they become
+/// ready.
 class AnswerQueue {
 public:
+    /// Reserves the slot for the answer to the next command.
     AnswerSlot reserveSlot();
-    /// False if that slot was answered before: an answer is given once.
+    /// Sets the encoded answer of a slot. Returns false without effect if the slot has one already or was
+    /// never reserved, so that each command is answered once.
     bool fillSlot(AnswerSlot slot, std::string text);
-    /// Moves what may leave now to the end of `out`.
+    /// Appends to `out` the answers up to the first slot without one, and removes them from the queue.
     void popReady(std::string &out);
+    /// Number of reserved slots whose answers have not been removed by popReady().
     std::size_t pendingCount() const { return answers_.size(); }
 
 private:
     std::deque<std::optional<std::string>> answers_;
-    std::uint64_t first_ = 0;
+    std::uint64_t firstSlot_ = 0;  ///< slot of answers_.front()
 };
 
+/// An API call that awaits its final answer.
 struct PendingCall {
     ApiCall call;
     ClientId client;
-    AnswerSlot slot;
-    unsigned tryCount = 0;
+    AnswerSlot slot;        ///< where its answer goes in the client's AnswerQueue
+    unsigned tryCount = 0;  ///< upstream tries so far
 };
 
-/// The API calls that are owed a final answer. An entry goes when that is given or nobody waits any more, so
-/// that no answer is given twice and nothing is sent after it.
+/// The API calls that await a final answer. A call is removed when the answer is given or when nobody waits
+/// for it any more, so that no call is answered twice and nothing is sent for it afterwards.
 class PendingCallTable {
 public:
+    /// Adds a call and returns its new id, which it also stores in the call's event. Doesn't check the
+    /// request id: see hasRequestId().
     CallId add(ApiCall call, ClientId client, AnswerSlot slot);
+    /// Returns nullptr if the call isn't pending. The pointer is valid until the call is removed.
     PendingCall *find(CallId id);
-    /// Whether a call with this id of its client is open.
+    /// Whether a call with this request id, of any client, is pending.
     bool hasRequestId(const std::string &requestId) const { return requestIds_.contains(requestId); }
+    /// Removes a call and returns it; nullopt if it isn't pending.
     std::optional<PendingCall> remove(CallId id);
-    /// The client has gone: its calls end without an answer.
+    /// Removes all calls of a client that has disconnected, and returns their ids in order of arrival.
     std::vector<CallId> removeAllOf(ClientId client);
-    /// The calls that this client is still owed an answer to, in the order in which they came.
+    /// The pending calls of a client in order of arrival.
     std::vector<CallId> callsOf(ClientId client) const;
     std::size_t size() const { return calls_.size(); }
-    /// Of the bodies that are kept for a further try.
-    std::size_t bodyBytes() const { return bytes_; }
+    /// Total size of the calls' bodies, which are kept for further tries.
+    std::size_t bodyBytes() const { return bodyBytes_; }
 
 private:
     std::map<CallId, PendingCall> calls_;
-    std::map<ClientId, std::set<CallId>> byClient_;
+    std::map<ClientId, std::set<CallId>> callsByClient_;
     std::set<std::string> requestIds_;
-    std::uint64_t last_ = 0;
-    std::size_t bytes_ = 0;
+    std::uint64_t lastId_ = 0;
+    std::size_t bodyBytes_ = 0;
 };
 
-/// Final answers that this gatekeeper words itself.
+/// Encodes the final answer "proxied": `value` is the value from the worker's reply.
 std::string encodeProxiedAnswer(std::string_view value);
+/// Encodes the final answer "rate-limited". `retryAfter` is sent in milliseconds, rounded up, and left out if
+/// it isn't positive.
 std::string encodeRateLimitedAnswer(std::optional<Duration> retryAfter);
+/// Encodes the final answer "errored".
 std::string encodeErroredAnswer();
 
 }  // namespace arrowstile
--- a/src/net/core/start_document.cpp
+++ b/src/net/core/start_document.cpp
@@ -10,23 +10,24 @@
 
 using nlohmann::json;
 
-std::optional<Address> addressIn(const json &from, const char *key) {
-    const std::string text = from.value(key, "");
+/// Returns nullopt if the key is missing or its value empty.
+std::optional<Address> optionalAddress(const json &object, const char *key) {
+    const std::string text = object.value(key, "");
     return text.empty() ? std::nullopt : std::optional(parseAddress(text, key));
 }
 
-Address neededIn(const json &from, const char *key) {
-    const auto address = addressIn(from, key);
-    if (!address) throw ConfigError("start document: '" + std::string(key) + "' is missing");
+Address requiredAddress(const json &object, const char *key) {
+    const auto address = optionalAddress(object, key);
+    if (!address) throw ConfigError("start document: '" + std::string(key) + "' is missing or empty");
     return *address;
 }
 
-std::uint64_t readSeed(const json &from) {
-    const std::string text = from.value("seed", "0");
+std::uint64_t parseSeed(const json &object) {
+    const std::string text = object.value("seed", "0");
     std::uint64_t seed = 0;
     const auto end = text.data() + text.size();
     if (std::from_chars(text.data(), end, seed, 16).ptr != end) {
-        throw ConfigError("start document: 'seed' is no hexadecimal number of 64 bits");
+        throw ConfigError("start document: 'seed' must be a hexadecimal number of up to 64 bits");
     }
     return seed;
 }
@@ -34,41 +35,42 @@
 }  // namespace
 
 Address parseAddress(std::string_view text, std::string_view label) {
-    const auto wrong = [&] {
-        return ConfigError("'" + std::string(label) + "' is '" + std::string(text) + "', not IPV4:PORT");
+    const auto invalid = [&] {
+        return ConfigError("'" + std::string(label) + "' is '" + std::string(text) +
+                           "', expected a literal IPv4 address and a port (IPV4:PORT)");
     };
     const auto colon = text.rfind(':');
-    if (colon == std::string_view::npos || colon == 0) throw wrong();
+    if (colon == std::string_view::npos || colon == 0) throw invalid();
     Address address{std::string(text.substr(0, colon)), 0};
     const auto port = text.substr(colon + 1);
     const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), address.port);
-    const bool whole = error == std::errc{} && end == port.data() + port.size();
-    in_addr literal{};
-    const bool known = ::inet_pton(AF_INET, address.host.c_str(), &literal) == 1;
-    if (!whole || !known || address.port < 1 || address.port > 65535) throw wrong();
+    const bool isPortNumber = error == std::errc{} && end == port.data() + port.size();
+    in_addr binary{};
+    const bool isIpv4 = ::inet_pton(AF_INET, address.host.c_str(), &binary) == 1;
+    if (!isPortNumber || !isIpv4 || address.port < 1 || address.port > 65535) throw invalid();
     return address;
 }
 
 StartDocument parseStartDocument(std::string_view text) {
     StartDocument start;
     try {
-        const json all = json::parse(text);
-        start.name = all.value("name", "");
-        start.listenAddress = neededIn(all, "listen");
-        start.discoveryAddress = neededIn(all, "discovery");
-        start.counterAddress = addressIn(all, "counter");
-        start.peerListenAddress = addressIn(all, "peer_listen");
-        start.allPeersAddress = addressIn(all, "peers_all");
-        for (const json &peer : all.value("peers", json::array())) {
+        const json document = json::parse(text);
+        start.name = document.value("name", "");
+        start.listenAddress = requiredAddress(document, "listen");
+        start.discoveryAddress = requiredAddress(document, "discovery");
+        start.counterAddress = optionalAddress(document, "counter");
+        start.peerListenAddress = optionalAddress(document, "peer_listen");
+        start.allPeersAddress = optionalAddress(document, "peers_all");
+        for (const json &peer : document.value("peers", json::array())) {
             start.peerAddresses.push_back(parseAddress(peer.get<std::string>(), "peers"));
         }
-        start.seed = readSeed(all);
-        const json limits = all.value("limits", json::object());
+        start.seed = parseSeed(document);
+        const json limits = document.value("limits", json::object());
         start.maxSockets = limits.value("sockets", start.maxSockets);
         start.maxMemoryMb = limits.value("memory_mb", start.maxMemoryMb);
-        if (all.contains("known") && all.at("known").is_object())
-            start.cachedWorkerListJson = all.at("known").dump();
-        start.settingsJson = all.at("settings").dump();
+        if (document.contains("known") && document.at("known").is_object())
+            start.cachedWorkerListJson = document.at("known").dump();
+        start.settingsJson = document.at("settings").dump();
         start.settings = readSettings(start.settingsJson);
     } catch (const json::exception &error) {
         throw ConfigError(std::string("start document: ") + error.what());
