--- a/src/net/core/api_call.hpp
+++ b/src/net/core/api_call.hpp
@@ -3,9 +3,15 @@
 ///
 /// An API call is the command `Q.ASK` (idempotent routes) or `Q.DO` (all other routes) with these arguments:
 /// the customer's id (16 hexadecimal digits), the request id, a list of fields `name=value,name=value`, and
-/// optionally a body. The fields are: `c` route, `t` plan, `d` remaining time in ms, `units` cost in units of
-/// the customer's quota, `spread` and `first` size and start of the customer's gateway subset, `r` which is 1
-/// for a client's retry. Fields with other names are ignored and passed on.
+/// optionally a body. The fields are:
+/// - `c`: route, by name (required)
+/// - `t`: plan, by name (required if the settings have plans)
+/// - `d`: how long the sender waits for the answer, in ms, from 0 to one hour (required)
+/// - `units`: cost of the call in units of the customer's quota
+/// - `spread`, `first`: size and start of the customer's gateway subset
+/// - `r`: 1 if the client repeats an earlier call
+///
+/// Fields with other names are ignored and passed on.
 #pragma once
 
 #include <arrowstile/events.hpp>
@@ -17,8 +23,8 @@
 
 namespace arrowstile {
 
-/// An API call as the client sent it. Workers receive the same command with another remaining time (the value
-/// of `d`); everything else is passed on unchanged.
+/// An API call as the client sent it. Workers receive the same command with another timeout (the value of
+/// `d`); everything else is passed on unchanged.
 struct ApiCall {
     CallReceived event;               ///< the decoded call; its `call` is set by PendingCallTable::add
     std::string commandName;          ///< `Q.ASK` or `Q.DO`
--- a/src/net/core/metrics.hpp
+++ b/src/net/core/metrics.hpp
@@ -19,7 +19,7 @@
     std::uint64_t callsTaken = 0;        ///< API calls accepted, each of them owed a final answer
     std::uint64_t callsProxied = 0;      ///< final answers that came from a worker
     std::uint64_t callsRateLimited = 0;  ///< final answers; those for lack of memory are not in callsTaken
-    std::uint64_t callsErrored = 0;      ///< final answers
+    std::uint64_t callsErrored = 0;      ///< final answers, with those given by a planned stop
     std::uint64_t callsAbandoned = 0;    ///< calls whose client disconnected before the final answer
 
     // All counters of tries include probes.
--- a/src/net/core/pending_calls.hpp
+++ b/src/net/core/pending_calls.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The API calls that still owe their client a final answer, the order of answers on a client's connection,
-/// and the encoding of final answers.
+/// The API calls whose clients await a final answer, the order of answers on a client's connection, and the
+/// encoding of final answers.
 #pragma once
 
 #include <deque>
@@ -59,7 +59,8 @@
     bool hasRequestId(const std::string &requestId) const { return requestIds_.contains(requestId); }
     /// Removes a call and returns it; nullopt if it isn't pending.
     std::optional<PendingCall> remove(CallId id);
-    /// Removes all calls of a client that has disconnected, and returns their ids in order of arrival.
+    /// Removes all calls of a client that has disconnected; they end without an answer. Returns their ids in
+    /// order of arrival.
     std::vector<CallId> removeAllOf(ClientId client);
     /// The pending calls of a client in order of arrival.
     std::vector<CallId> callsOf(ClientId client) const;
--- a/src/net/core/resource_limits.hpp
+++ b/src/net/core/resource_limits.hpp
@@ -13,9 +13,9 @@
     ResourceLimits(unsigned maxSockets, unsigned maxMemoryMb);
 
     std::size_t maxClientConnections;
-    /// Those of the client connections that have never sent an API call.
+    /// Of the client connections, those that have never sent an API call.
     std::size_t maxNonCallingClients;
-    /// Those of the client connections that have sent an API call. Above this number the one idle longest is
+    /// Of the client connections, those that have sent an API call. Above this number the one idle longest is
     /// closed; as long as none is idle, there may be more.
     std::size_t maxCallingClients;
     std::size_t maxWorkerConnections;
--- a/src/net/core/worker_reply.hpp
+++ b/src/net/core/worker_reply.hpp
@@ -23,10 +23,10 @@
     /// For the client, with the outcome `answered`. Points into the buffer that the reply was parsed from.
     std::string_view value;
     std::optional<double> rateUsedFraction;  ///< TryEnded::rateUsedFraction, sent by workers in percent
-    std::optional<double> actualUnits;  ///< TryEnded::actualUnits; not without EngineSettings::hasActualUnits
-    std::vector<double> load;           ///< TryEnded::load
-    bool isUnexpected = false;          ///< not a reply to an API call; the connection is of no further use
-    bool isSyntaxError = false;         ///< the worker couldn't parse the command
+    std::optional<double> actualUnits;       ///< TryEnded::actualUnits, if EngineSettings::hasActualUnits
+    std::vector<double> load;                ///< TryEnded::load
+    bool isUnexpected = false;   ///< not a reply to an API call; the connection is of no further use
+    bool isSyntaxError = false;  ///< the worker couldn't parse the command
 };
 
 /// Interprets a reply. Missing or invalid figures are left out of the result and don't change its outcome.
