--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// The gateway program: reads the start document that EDGE_CONFIG names and serves until a planned stop.
 #include <uv.h>
 
 #include <csignal>
@@ -10,25 +12,31 @@
 
 namespace {
 
-arrowstile::Log::Level levelOf(const char *word) {
+/// Returns the log level of that name; `info` if there is no name (nullptr) or the name is unknown.
+arrowstile::Log::Level parseLogLevel(const char *name) {
     using Level = arrowstile::Log::Level;
-    const std::string_view text = word != nullptr ? word : "";
+    const std::string_view text = name != nullptr ? name : "";
     if (text == "error") return Level::error;
     if (text == "warning") return Level::warning;
     return text == "debug" ? Level::debug : Level::info;
 }
 
-arrowstile::StartDocument readStartFile() {
+/// Throws ConfigError if the file can't be opened or its content is no valid start document.
+arrowstile::StartDocument readStartDocumentFile() {
     const char *path = std::getenv("EDGE_CONFIG");
-    if (path == nullptr) throw arrowstile::ConfigError("EDGE_CONFIG names no start document");
+    if (path == nullptr)
+        throw arrowstile::ConfigError("EDGE_CONFIG is not set; expected the path of the start document");
     std::ifstream file(path);
-    if (!file) throw arrowstile::ConfigError("can't read the start document '" + std::string(path) + "'");
+    if (!file)
+        throw arrowstile::ConfigError("can't open the start document '" + std::string(path) +
+                                      "' that EDGE_CONFIG names");
     return arrowstile::parseStartDocument(std::string(std::istreambuf_iterator<char>(file), {}));
 }
 
-struct Loop {
-    Loop() { uv_loop_init(&loop); }
-    ~Loop() {
+/// An event loop that, at its end, waits until all handles are closed.
+struct EventLoop {
+    EventLoop() { uv_loop_init(&loop); }
+    ~EventLoop() {
         uv_run(&loop, UV_RUN_DEFAULT);
         uv_loop_close(&loop);
     }
@@ -40,12 +48,12 @@
 int main() {
     std::ios::sync_with_stdio(false);
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN);  // until there is a loop that can take it
+    std::signal(SIGHUP, SIG_IGN);  // A reload is possible only once the event loop runs.
     try {
-        arrowstile::StartDocument start = readStartFile();
-        arrowstile::Log log(std::cout, levelOf(std::getenv("ARROWSTILE_LOG")));
-        Loop loop;
-        arrowstile::Gateway(&loop.loop, std::move(start), log, readStartFile).run();
+        arrowstile::StartDocument startDocument = readStartDocumentFile();
+        arrowstile::Log log(std::cout, parseLogLevel(std::getenv("ARROWSTILE_LOG")));
+        EventLoop eventLoop;
+        arrowstile::Gateway(&eventLoop.loop, std::move(startDocument), log, readStartDocumentFile).run();
         return 0;
     } catch (const std::exception &error) {
         std::cerr << "arrowstile: " << error.what() << std::endl;
--- /dev/null
+++ b/src/net/client_connections.cpp
@@ -0,0 +1,398 @@
+#include "client_connections.hpp"
+
+#include <algorithm>
+
+namespace arrowstile {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr int kListenBacklog = 1024;
+
+// Reading from a connection pauses when it has this many commands without an answer or this many bytes of
+// answers that its client has not fetched. Neither a flood of commands nor a slow reader then uses up the
+// memory that all connections share. Reading resumes at half the commands and at the low-water mark.
+constexpr std::size_t kMaxPendingCommandCount = 512;
+constexpr std::size_t kUnsentHighWaterBytes = 256 * 1024;
+constexpr std::size_t kUnsentLowWaterBytes = 64 * 1024;
+
+/// A connection with a longer incomplete command is closed: the command would never end.
+constexpr std::size_t kMaxCommandBytes = resp::kMaxCommandValueBytes + 8 * 1024;
+/// When memory is short, connections with no more of an incomplete command than this are closed last.
+constexpr std::size_t kSmallIncompleteCommandBytes = 1024;
+
+constexpr Duration kCleanupInterval = milliseconds(250);
+/// How long a connection may go without a first valid command, and how long a command may stay incomplete.
+constexpr Duration kCommandTimeout = milliseconds(2000);
+/// How long a client has to fetch an error, or to close its side in a planned stop, before the connection is
+/// closed and whatever it still sends is lost.
+constexpr Duration kCloseGracePeriod = milliseconds(300);
+
+/// Length of the first phase of a planned stop, in which no connection is closed for being idle. New
+/// connections still arrive for a while, so a client whose connection is closed would only come back.
+constexpr Duration kStopDelay = milliseconds(500);
+/// After the first phase, the listening socket is closed once no client has connected for this long.
+constexpr Duration kNoNewClientPeriod = milliseconds(200);
+/// The listening socket is closed this long after the start of a planned stop, even if clients still connect.
+/// Ordinary clients stop connecting after about half a second; a crowd that never stops must not hold up the
+/// stop.
+constexpr Duration kMaxAcceptPeriod = milliseconds(900);
+constexpr Duration kStopPollInterval = milliseconds(20);
+
+// The process is killed 0.7 s after the longest client timeout at the earliest, where that timeout counts as
+// 3 s at most. The planned stop ends before that: kStopMargin after the timeout all calls that are still open
+// are answered, and kFinalAnswerPeriod later, in which clients can fetch those answers, all connections are
+// closed. Clients may be willing to wait longer than that.
+constexpr Duration kMaxClientTimeout = milliseconds(3000);
+constexpr Duration kStopMargin = milliseconds(550);
+constexpr Duration kFinalAnswerPeriod = milliseconds(60);
+
+}  // namespace
+
+struct ClientConnections::Connection final : TcpConnection::Handler {
+    Connection(ClientConnections &connections, ClientId clientId, Timestamp now, Timestamp since)
+        : owner(connections), id(clientId), lastActiveAt(now), unreadSince(since) {
+        ++owner.nonCallingCount_;
+    }
+
+    ~Connection() {
+        owner.unsentBytes_ -= countedUnsentBytes;
+        owner.incompleteCommandBytes_ -= incompleteCommandBytes;
+        owner.nonCallingCount_ -= isNonCalling;
+    }
+
+    std::size_t onData(std::string_view bytes) override {
+        std::size_t consumedBytes = 0;
+        resp::Command command;
+        while (consumedBytes < bytes.size() && !isReadPaused && !isEnding) {
+            const auto parsed = resp::parseCommand(bytes.substr(consumedBytes), command);
+            const bool isTooLong =
+                parsed == resp::ParseResult::incomplete && bytes.size() - consumedBytes > kMaxCommandBytes;
+            if (parsed == resp::ParseResult::incomplete && !isTooLong) break;
+            if (parsed == resp::ParseResult::malformed || isTooLong) {
+                ++owner.context_.metrics.badCommands;
+                queueAnswer("-ERR Protocol error\r\n");
+                isEnding = true;
+                break;
+            }
+            consumedBytes += command.consumedBytes;
+            lastActiveAt = owner.context_.clock.now();
+            owner.handleCommand(*this, command);
+            updateReadPause();
+        }
+        unreadSince = Timestamp::max();
+        if (isEnding) {
+            tcp->setReadPaused(true);  // Further input is of no use after a protocol error.
+            consumedBytes = bytes.size();
+        }
+        const std::size_t restBytes = isReadPaused ? 0 : bytes.size() - consumedBytes;
+        if (incompleteCommandBytes == 0 && restBytes > 0) lastActiveAt = owner.context_.clock.now();
+        owner.incompleteCommandBytes_ += restBytes - incompleteCommandBytes;
+        incompleteCommandBytes = restBytes;
+        return consumedBytes;
+    }
+
+    /// Called for each API call. Clients can't hold more connections for calls at once than a third of this
+    /// gateway's descriptors. Where they send one call per connection and keep the connection open, further
+    /// calls would wait on their side for one to end, so the one that has been idle longest is closed before.
+    void recordApiCall() {
+        hasSentCommand = true;
+        if (!std::exchange(isNonCalling, false)) return;
+        --owner.nonCallingCount_;
+        if (owner.connections_.size() - owner.nonCallingCount_ > owner.context_.limits.maxCallingClients)
+            owner.evictLongestIdle(EvictionScope::calling);
+    }
+
+    /// Whether the connection is to be closed because its client took too long to send a command or to close
+    /// its side, while no answer to it is outstanding.
+    bool isOverdue(Timestamp now) const {
+        if (isWriteShutdown) return now - lastActiveAt > kCloseGracePeriod;
+        return (!hasSentCommand || incompleteCommandBytes > 0) && answerQueue.pendingCount() == 0 &&
+               now - lastActiveAt > kCommandTimeout;
+    }
+
+    void onOutputSent() override {
+        updateUnsentBytes();
+        updateReadPause();
+    }
+
+    /// Updates the total of unsent bytes over all connections. Returns the unsent bytes of this one.
+    std::size_t updateUnsentBytes() {
+        owner.unsentBytes_ += tcp->unsentBytes() - countedUnsentBytes;
+        return countedUnsentBytes = tcp->unsentBytes();
+    }
+
+    void onClosed() override { owner.closeConnection(id); }
+
+    /// Queues an answer that is known at once, behind those to earlier commands.
+    void queueAnswer(std::string text) {
+        answerQueue.fillSlot(answerQueue.reserveSlot(), std::move(text));
+        owner.unflushedConnections_.insert(id);
+    }
+
+    /// Closes the sending direction only. The client sees the end of the stream between two answers, and
+    /// sends the commands that it wrote in the meantime again, on another connection.
+    void shutdownWrite(Timestamp now) {
+        if (std::exchange(isWriteShutdown, true)) return;
+        isEnding = true;
+        lastActiveAt = now;
+        tcp->shutdownWrite();
+    }
+
+    bool isIdle() const {
+        return answerQueue.pendingCount() == 0 && tcp->unsentBytes() == 0 && incompleteCommandBytes == 0;
+    }
+
+    /// Pauses or resumes reading, depending on the commands and bytes that wait.
+    void updateReadPause() {
+        const bool mustPause = answerQueue.pendingCount() >= kMaxPendingCommandCount ||
+                               tcp->unsentBytes() >= kUnsentHighWaterBytes;
+        const bool mayResume = answerQueue.pendingCount() <= kMaxPendingCommandCount / 2 &&
+                               tcp->unsentBytes() <= kUnsentLowWaterBytes;
+        if (!(isReadPaused ? mayResume : mustPause)) return;
+        isReadPaused = !isReadPaused;
+        tcp->setReadPaused(isReadPaused);
+    }
+
+    ClientConnections &owner;
+    const ClientId id;
+    TcpConnection::Ptr tcp;
+    AnswerQueue answerQueue;
+    Timestamp lastActiveAt;
+    /// Until something was read: the earliest time at which input may have arrived. Then Timestamp::max().
+    Timestamp unreadSince;
+    std::size_t countedUnsentBytes = 0;  ///< this connection's part of the total over all
+    std::size_t incompleteCommandBytes = 0;
+    bool hasSentCommand = false;  ///< a valid one
+    bool isNonCalling = true;     ///< has not sent an API call
+    bool isReadPaused = false;
+    bool isEnding = false;  ///< no further command is read; closed after the last answer
+    bool isWriteShutdown = false;
+};
+
+void ClientConnections::ListenerCloser::operator()(uv_tcp_t *listener) const {
+    uv_close(reinterpret_cast<uv_handle_t *>(listener),
+             [](uv_handle_t *handle) { delete reinterpret_cast<uv_tcp_t *>(handle); });
+}
+
+ClientConnections::ClientConnections(ServerContext &context, PendingCallTable &pendingCalls)
+    : context_(context), pendingCalls_(pendingCalls) {
+    context_.timers.schedule(context_.clock.now() + kCleanupInterval, [this] { closeOverdueConnections(); });
+}
+
+ClientConnections::~ClientConnections() = default;
+
+void ClientConnections::listen(const Address &address) {
+    listener_.reset(new uv_tcp_t);
+    uv_tcp_init(context_.loop, listener_.get());
+    listener_->data = this;
+    const sockaddr_in socketAddress = toSocketAddress(address);
+    int error = uv_tcp_bind(listener_.get(), reinterpret_cast<const sockaddr *>(&socketAddress), 0);
+    if (error == 0) {
+        error = uv_listen(reinterpret_cast<uv_stream_t *>(listener_.get()), kListenBacklog,
+                          [](uv_stream_t *listener, int status) {
+                              if (status == 0) static_cast<ClientConnections *>(listener->data)->accept();
+                          });
+    }
+    if (error != 0) {
+        throw ConfigError("can't listen on " + address.host + ":" + std::to_string(address.port) + ": " +
+                          uv_strerror(error));
+    }
+}
+
+/// Closes the connection within `scope` that has been idle longest. Returns false if there is none.
+/// Connections with unread input are kept, since it may be a command. Connections that have not sent an API
+/// call are kept for that only until they were read once, because some of them send without end.
+bool ClientConnections::evictLongestIdle(EvictionScope scope) {
+    auto longestIdle = connections_.end();
+    for (auto candidate = connections_.begin(); candidate != connections_.end(); ++candidate) {
+        const Connection &connection = *candidate->second;
+        const bool onlyNonCalling = scope == EvictionScope::nonCalling;
+        if (scope != EvictionScope::all && connection.isNonCalling != onlyNonCalling) continue;
+        if (onlyNonCalling ? connection.answerQueue.pendingCount() > 0 : !connection.isIdle()) continue;
+        const bool isLongerIdle =
+            longestIdle == connections_.end() || connection.lastActiveAt < longestIdle->second->lastActiveAt;
+        const bool isKeptIfUnread = !onlyNonCalling || connection.unreadSince != Timestamp::max();
+        if (isLongerIdle && !(isKeptIfUnread && connection.tcp->hasUnreadInput())) longestIdle = candidate;
+    }
+    if (longestIdle == connections_.end()) return false;
+    ++context_.metrics.clientsLetGo;
+    connections_.erase(longestIdle);
+    return true;
+}
+
+/// Runs periodically.
+void ClientConnections::closeOverdueConnections() {
+    const Timestamp now = context_.clock.now();
+    context_.timers.schedule(now + kCleanupInterval, [this] { closeOverdueConnections(); });
+    std::vector<ClientId> overdue;
+    for (const auto &[id, connection] : connections_)
+        if (connection->isOverdue(now)) overdue.push_back(id);
+    for (const ClientId id : overdue) {
+        ++context_.metrics.clientsLetGo;
+        closeConnection(id);
+    }
+}
+
+/// Accepts a client. At the limit on connections that have not sent an API call, one of those is closed, so
+/// that a crowd of clients that send nothing, or only PING, never displaces clients that send calls. If all
+/// of those have unread input, the new client waits until it was read. At the limit on all connections, the
+/// one that has been idle longest is closed; if none is idle, the new client is turned away.
+void ClientConnections::accept() {
+    const Timestamp since = acceptDeferredSince_ ? *acceptDeferredSince_ : context_.lastReadAt;
+    acceptDeferredSince_.reset();
+    if (nonCallingCount_ >= context_.limits.maxNonCallingClients &&
+        !evictLongestIdle(EvictionScope::nonCalling)) {
+        acceptDeferredSince_ = since;
+        return;
+    }
+    const bool hasRoom =
+        connections_.size() < context_.limits.maxClientConnections || evictLongestIdle(EvictionScope::all);
+    const ClientId id{++lastClientId_};
+    lastAcceptedAt_ = context_.clock.now();
+    auto connection = std::make_unique<Connection>(*this, id, lastAcceptedAt_, since);
+    connection->tcp =
+        TcpConnection::accept(reinterpret_cast<uv_stream_t *>(listener_.get()), connection.get());
+    if (!connection->tcp) return;
+    ++(hasRoom ? context_.metrics.clientsAccepted : context_.metrics.clientsTurnedAway);
+    if (hasRoom) connections_.emplace(id, std::move(connection));
+}
+
+void ClientConnections::handleCommand(Connection &connection, const resp::Command &command) {
+    const std::string_view commandName = command.arguments[0];
+    if (isApiCallCommand(commandName)) {
+        ApiCall call;
+        auto error = parseApiCall(command, context_.startDocument.settings, call);
+        if (error.empty() && pendingCalls_.hasRequestId(call.requestId)) error = "this id is open";
+        if (error.empty() &&
+            pendingCalls_.bodyBytes() + call.body.size() > context_.limits.maxBufferedBytesPerKind) {
+            ++context_.metrics.callsRateLimited;
+            connection.queueAnswer(encodeRateLimitedAnswer(std::nullopt));
+            return;
+        }
+        if (error.empty()) {
+            // The call may have arrived at any time since the sockets were last read, or earlier if its
+            // connection had to wait to be accepted. That time counts as time that the client has waited.
+            const Timestamp now = context_.clock.now();
+            call.event.timeRemaining -= now - std::min(context_.lastReadAt, connection.unreadSince);
+            const AnswerSlot slot = connection.answerQueue.reserveSlot();
+            const CallReceived event = call.event;
+            const CallId id = pendingCalls_.add(std::move(call), connection.id, slot);
+            connection.recordApiCall();
+            context_.pendingEvents.emplace_back(event);
+            std::get<CallReceived>(context_.pendingEvents.back()).call = id;
+            ++context_.metrics.callsTaken;
+            return;
+        }
+        ++context_.metrics.badCommands;
+        connection.queueAnswer("-ERR " + std::string(error) + "\r\n");
+    } else if (commandName == "PING") {
+        connection.hasSentCommand = true;
+        connection.queueAnswer(isReady_ ? "+PONG\r\n" : "-LOADING not ready yet\r\n");
+    } else if (commandName == "INFO") {
+        connection.hasSentCommand = true;
+        connection.queueAnswer(encodeProxiedAnswer(context_.metrics.toText()));
+    } else {
+        ++context_.metrics.badCommands;
+        connection.queueAnswer("-ERR unknown command\r\n");
+    }
+}
+
+void ClientConnections::sendAnswer(const PendingCall &call, std::string text) {
+    const auto found = connections_.find(call.client);
+    if (found == connections_.end()) return;
+    found->second->answerQueue.fillSlot(call.slot, std::move(text));
+    unflushedConnections_.insert(call.client);
+}
+
+void ClientConnections::flush() {
+    for (const ClientId id : std::exchange(unflushedConnections_, {})) {
+        const auto found = connections_.find(id);
+        if (found == connections_.end()) continue;
+        Connection &connection = *found->second;
+        std::string text;
+        connection.answerQueue.popReady(text);
+        connection.tcp->write(text);
+        connection.tcp->flush();
+        connection.updateReadPause();
+        const std::size_t unsentBytes = connection.updateUnsentBytes();
+        if (unsentBytes > context_.limits.maxUnsentBytesPerClient ||
+            (unsentBytes_ > context_.limits.maxBufferedBytesPerKind && unsentBytes > kUnsentLowWaterBytes)) {
+            context_.log.warning("a client that does not fetch its answers is let go");
+            closeConnection(id);
+            continue;
+        }
+        if (connection.answerQueue.pendingCount() == 0 &&
+            (connection.isEnding || (isClosingIdle_ && connection.isIdle())))
+            connection.shutdownWrite(context_.clock.now());
+    }
+    while (incompleteCommandBytes_ > context_.limits.maxBufferedBytesPerKind) closeOldestIncompleteCommand();
+    if (acceptDeferredSince_ && listener_) accept();
+}
+
+/// Closes the connection whose incomplete command has been waited for longest, to make room for the others.
+void ClientConnections::closeOldestIncompleteCommand() {
+    const auto oldest = std::ranges::min_element(connections_, {}, [](const auto &entry) {
+        return std::pair(entry.second->incompleteCommandBytes <= kSmallIncompleteCommandBytes,
+                         entry.second->lastActiveAt);
+    });
+    ++context_.metrics.clientsLetGo;
+    closeConnection(oldest->first);
+}
+
+/// Closes a connection and reports its open calls as abandoned.
+void ClientConnections::closeConnection(ClientId id) {
+    for (const CallId call : pendingCalls_.removeAllOf(id)) {
+        ++context_.metrics.callsAbandoned;
+        context_.pendingEvents.emplace_back(CallAbandoned{call});
+    }
+    connections_.erase(id);
+}
+
+void ClientConnections::beginPlannedStop() {
+    if (std::exchange(isStopping_, true)) return;
+    stopStartedAt_ = context_.clock.now();
+    context_.timers.schedule(stopStartedAt_ + kStopDelay, [this] { continuePlannedStop(); });
+}
+
+/// Answers all open calls, because the process ends before their clients stop waiting. A try of a call may be
+/// in flight, so the answer is errored, which does not say whether the call ran; a call that got no answer at
+/// all would be lost.
+void ClientConnections::answerRemainingCalls() {
+    for (const auto &[id, connection] : connections_) {
+        for (const CallId call : pendingCalls_.callsOf(id)) {
+            sendAnswer(*pendingCalls_.remove(call), encodeErroredAnswer());
+            ++context_.metrics.callsErrored;
+            context_.pendingEvents.emplace_back(CallAbandoned{call});
+        }
+    }
+}
+
+/// Runs every kStopPollInterval in a planned stop, until all connections are closed. A client that was told
+/// of the end and keeps its side open is not waited for beyond kCloseGracePeriod.
+void ClientConnections::continuePlannedStop() {
+    const Timestamp now = context_.clock.now();
+    isClosingIdle_ = true;
+    if (now - lastAcceptedAt_ > kNoNewClientPeriod || now - stopStartedAt_ > kMaxAcceptPeriod)
+        listener_.reset();
+    Duration longestTimeout{};
+    for (const Route &route : context_.startDocument.settings.engine.routes)
+        longestTimeout = std::max(longestTimeout, route.clientTimeout);
+    longestTimeout = std::min(longestTimeout, kMaxClientTimeout);
+    std::erase_if(connections_, [&](const auto &entry) {
+        Connection &connection = *entry.second;
+        if (connection.isWriteShutdown)
+            return connection.answerQueue.pendingCount() == 0 &&
+                   now - connection.lastActiveAt > kCloseGracePeriod;
+        if (connection.isIdle()) connection.shutdownWrite(now);
+        return false;
+    });
+    if (now - stopStartedAt_ > longestTimeout + kStopMargin) answerRemainingCalls();
+    if (now - stopStartedAt_ > longestTimeout + kStopMargin + kFinalAnswerPeriod) {
+        listener_.reset();
+        connections_.clear();
+    }
+    if (!isStopped()) context_.timers.schedule(now + kStopPollInterval, [this] { continuePlannedStop(); });
+}
+
+}  // namespace arrowstile
--- /dev/null
+++ b/src/net/client_connections.hpp
@@ -0,0 +1,72 @@
+/// \file
+/// The connections from clients: accepting them, reading their commands and writing the answers.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <set>
+
+#include "core/pending_calls.hpp"
+#include "server_context.hpp"
+#include "tcp_connection.hpp"
+
+namespace arrowstile {
+
+/// Accepts clients, turns their API calls into events and sends each client its answers in the order of its
+/// commands. Limits how much memory and how many sockets clients can take up.
+class ClientConnections {
+public:
+    ClientConnections(ServerContext &context, PendingCallTable &pendingCalls);
+    ~ClientConnections();
+
+    /// Starts to accept clients. Throws ConfigError if the address can't be listened on.
+    void listen(const Address &address);
+    /// From now on PING is answered with PONG; before that, the gateway reports that it is loading.
+    void setReady() { isReady_ = true; }
+    /// Queues the final answer to a call, which has been removed from the table of pending calls.
+    void sendAnswer(const PendingCall &call, std::string text);
+    /// Sends all answers that are due and enforces the limits on memory.
+    void flush();
+    /// Begins a planned stop: for a while new clients are still accepted, then each connection is closed as
+    /// soon as it is idle. Repeated calls have no effect.
+    void beginPlannedStop();
+    /// Whether a planned stop is complete.
+    bool isStopped() const { return isStopping_ && !listener_ && connections_.empty(); }
+
+private:
+    struct Connection;
+    /// Which connections may be closed to make room for another.
+    enum class EvictionScope { all, nonCalling, calling };
+    struct ListenerCloser {
+        void operator()(uv_tcp_t *listener) const;
+    };
+
+    void accept();
+    bool evictLongestIdle(EvictionScope scope);
+    void closeOverdueConnections();
+    void closeOldestIncompleteCommand();
+    void handleCommand(Connection &connection, const resp::Command &command);
+    void closeConnection(ClientId id);
+    void continuePlannedStop();
+    void answerRemainingCalls();
+
+    ServerContext &context_;
+    PendingCallTable &pendingCalls_;
+    std::unique_ptr<uv_tcp_t, ListenerCloser> listener_;
+    std::size_t unsentBytes_ = 0;             ///< of answers, over all connections
+    std::size_t incompleteCommandBytes_ = 0;  ///< buffered, over all connections
+    std::size_t nonCallingCount_ = 0;         ///< connections that have not sent an API call
+    std::map<ClientId, std::unique_ptr<Connection>> connections_;
+    std::set<ClientId> unflushedConnections_;
+    std::uint64_t lastClientId_ = 0;
+    bool isReady_ = false;
+    bool isStopping_ = false;     ///< a planned stop has begun
+    bool isClosingIdle_ = false;  ///< the planned stop closes connections when they are idle
+    Timestamp stopStartedAt_{};
+    Timestamp lastAcceptedAt_{};
+    /// Set while a client waits to be accepted: the earliest time at which its input may have arrived.
+    std::optional<Timestamp> acceptDeferredSince_;
+};
+
+}  // namespace arrowstile
--- a/src/net/clock.cpp
+++ b/src/net/clock.cpp
@@ -6,7 +6,9 @@
 namespace arrowstile {
 namespace {
 
-constexpr std::int64_t slowest = 1000;  // of the time passed, one part in so many may be a correction
+/// A correction is at most this fraction (1/1000) of the time since the previous correction, so that the
+/// clock never runs more than 0.1 % fast or slow.
+constexpr std::int64_t kMaxCorrectionDivisor = 1000;
 
 template <class Source>
 Timestamp read() {
@@ -17,33 +19,34 @@
 
 Clock::Clock()
     : offset_(read<std::chrono::system_clock>() - read<std::chrono::steady_clock>()),
-      corrected_(read<std::chrono::steady_clock>()) {}
+      lastCorrectedAt_(read<std::chrono::steady_clock>()) {}
 
 Timestamp Clock::now() {
     const Timestamp steady = read<std::chrono::steady_clock>();
-    if (const Duration most = (steady - corrected_) / slowest; most > Duration{}) {
-        const Duration off = read<std::chrono::system_clock>() - steady - offset_;
-        offset_ += std::clamp(off, -most, most);
-        corrected_ = steady;
+    if (const Duration maxCorrection = (steady - lastCorrectedAt_) / kMaxCorrectionDivisor;
+        maxCorrection > Duration{}) {
+        const Duration error = read<std::chrono::system_clock>() - steady - offset_;
+        offset_ += std::clamp(error, -maxCorrection, maxCorrection);
+        lastCorrectedAt_ = steady;
     }
     return steady + offset_;
 }
 
-Alarms::Key Alarms::set(Timestamp due, std::function<void()> act) {
-    const Key key{due, ++last_};
-    acts_.emplace(key, std::move(act));
+TimerQueue::Key TimerQueue::schedule(Timestamp due, std::function<void()> callback) {
+    const Key key{due, ++lastSequenceNumber_};
+    callbacks_.emplace(key, std::move(callback));
     return key;
 }
 
-std::optional<Timestamp> Alarms::next() const {
-    return acts_.empty() ? std::nullopt : std::optional(acts_.begin()->first.first);
+std::optional<Timestamp> TimerQueue::nextDue() const {
+    return callbacks_.empty() ? std::nullopt : std::optional(callbacks_.begin()->first.first);
 }
 
-void Alarms::run(Timestamp now) {
-    while (!acts_.empty() && acts_.begin()->first.first <= now) {
-        const auto act = std::move(acts_.begin()->second);
-        acts_.erase(acts_.begin());
-        act();
+void TimerQueue::runDue(Timestamp now) {
+    while (!callbacks_.empty() && callbacks_.begin()->first.first <= now) {
+        const auto callback = std::move(callbacks_.begin()->second);
+        callbacks_.erase(callbacks_.begin());
+        callback();
     }
 }
 
--- /dev/null
+++ b/src/net/discovery_client.hpp
@@ -0,0 +1,60 @@
+/// \file
+/// The client of the discovery service, which lists the workers.
+#pragma once
+
+#include <functional>
+
+#include "core/discovery_update.hpp"
+#include "core/http.hpp"
+#include "server_context.hpp"
+#include "tcp_connection.hpp"
+
+namespace arrowstile {
+
+/// Watches discovery's list of workers by long polling over HTTP, and fetches the whole list on request. At
+/// most one request is in flight. After a failure the client connects and asks again.
+class DiscoveryClient final : TcpConnection::Handler {
+public:
+    /// Receives each update, and an empty one of kind `failed` if a request failed in the mode onRequest.
+    using UpdateCallback = std::function<void(DiscoveryUpdate, WorkerListKind kind)>;
+
+    DiscoveryClient(ServerContext &context, UpdateCallback onUpdate);
+
+    /// Takes over the list of an earlier run, in discovery's JSON format, so that the watch asks only for
+    /// what has changed since. Throws ConfigError if it can't be read.
+    void loadCachedList(std::string_view json);
+    /// Starts or stops the watch. A request in flight is not cancelled.
+    void setWatching(bool enabled);
+    /// Requests the whole list.
+    void fetchList();
+    /// To be called when discovery's address has changed. Requests the whole list, because versions of the
+    /// list at the old address may mean nothing at the new one.
+    void onAddressChange();
+
+private:
+    std::size_t onData(std::string_view bytes) override;
+    void onOpen() override;
+    void onClosed() override { reconnectLater(); }
+
+    void handleResponse(const HttpResponse &response);
+    void sendRequest();
+    void reconnectLater();
+
+    ServerContext &context_;
+    UpdateCallback onUpdate_;
+    DiscoveryParser updateParser_;
+    std::unique_ptr<HttpResponseParser> responseParser_;
+    TcpConnection::Ptr tcp_;
+    TimerQueue::Key timer_{};    ///< timeout of the request in flight, or time of the next attempt to connect
+    std::uint64_t version_ = 0;  ///< of the latest list
+    bool hasList_ = false;
+    bool hasDiscoveryAnswered_ = false;  ///< at the present address
+    bool isWatching_ = false;
+    bool isSnapshotWanted_ = false;
+    bool isSnapshotRequested_ = false;  ///< by the latest request
+    bool isOpen_ = false;
+    bool isRequestInFlight_ = false;
+    bool mustReconnect_ = false;  ///< no further request can be sent on this connection
+};
+
+}  // namespace arrowstile
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -8,44 +8,49 @@
 
 using std::chrono::milliseconds;
 
-// A start is ready with discovery's first answer; with a list from before, no later than this.
-constexpr Duration readyMost = milliseconds(1000);
-constexpr int mostRounds = 8;
-constexpr Duration oversleep = milliseconds(5);
+/// A gateway becomes ready with discovery's first answer. If it was started with a cached list of workers, it
+/// becomes ready after this time at the latest.
+constexpr Duration kMaxReadyDelay = milliseconds(1000);
+/// Actions may produce further events at once; more rounds than this are left to the next iteration.
+constexpr int kMaxRoundsPerIteration = 8;
+/// The process was stopped in its sleep if it wakes up later than planned by more than this.
+constexpr Duration kMaxWakeDelay = milliseconds(5);
 
 }  // namespace
 
-Gateway::Gateway(uv_loop_t *loop, StartDocument start, Log &log, std::function<StartDocument()> reread)
-    : around_{.loop = loop, .start = std::move(start), .log = log},
-      reread_(std::move(reread)),
-      keeper_(around_.start.settings.engine, around_.start.seed),
-      clients_(around_, book_),
+Gateway::Gateway(uv_loop_t *loop, StartDocument startDocument, Log &log,
+                 std::function<StartDocument()> readStartDocument)
+    : context_{.loop = loop, .startDocument = std::move(startDocument), .log = log},
+      readStartDocument_(std::move(readStartDocument)),
+      engine_(context_.startDocument.settings.engine, context_.startDocument.seed),
+      clients_(context_, pendingCalls_),
       workers_(
-          around_, [this](CallId call, std::string_view value) { answered(call, value); },
-          [this](CallId call) { return book_.find(call) == nullptr; }),
-      counter_(around_),
-      discovery_(around_,
-                 [this](const DiscoveryUpdate &news, WorkerListKind how) {
-                     workers_.list(news);
-                     WorkerListUpdated listed{how, news.version, {}};
-                     for (const DiscoveredWorker &target : news.workers)
-                         listed.workers.push_back(target.entry);
-                     around_.happened.emplace_back(std::move(listed));
-                     if (how == WorkerListKind::snapshot || how == WorkerListKind::delta) clients_.ready();
+          context_, [this](CallId call, std::string_view value) { handleWorkerAnswer(call, value); },
+          [this](CallId call) { return pendingCalls_.find(call) == nullptr; }),
+      counter_(context_),
+      discovery_(context_,
+                 [this](const DiscoveryUpdate &update, WorkerListKind kind) {
+                     workers_.updateWorkers(update);
+                     WorkerListUpdated event{kind, update.version, {}};
+                     for (const DiscoveredWorker &listed : update.workers)
+                         event.workers.push_back(listed.entry);
+                     context_.pendingEvents.emplace_back(std::move(event));
+                     if (kind == WorkerListKind::snapshot || kind == WorkerListKind::delta)
+                         clients_.setReady();
                  }),
-      peers_(around_),
-      before_(new uv_prepare_t),
-      after_(new uv_check_t),
-      timer_(new uv_timer_t),
-      terminated_(new uv_signal_t),
-      interrupted_(new uv_signal_t),
-      asked_(new uv_signal_t),
-      renewed_(new uv_signal_t) {
-    uv_prepare_init(loop, before_.get());
-    uv_check_init(loop, after_.get());
-    uv_timer_init(loop, timer_.get());
-    before_->data = after_->data = timer_->data = this;
-    for (auto *signal : {terminated_.get(), interrupted_.get(), asked_.get(), renewed_.get()}) {
+      peers_(context_),
+      beforePoll_(new uv_prepare_t),
+      afterPoll_(new uv_check_t),
+      wakeTimer_(new uv_timer_t),
+      sigterm_(new uv_signal_t),
+      sigint_(new uv_signal_t),
+      sigusr1_(new uv_signal_t),
+      sighup_(new uv_signal_t) {
+    uv_prepare_init(loop, beforePoll_.get());
+    uv_check_init(loop, afterPoll_.get());
+    uv_timer_init(loop, wakeTimer_.get());
+    beforePoll_->data = afterPoll_->data = wakeTimer_->data = this;
+    for (auto *signal : {sigterm_.get(), sigint_.get(), sigusr1_.get(), sighup_.get()}) {
         uv_signal_init(loop, signal);
         signal->data = this;
     }
@@ -54,143 +59,150 @@
 Gateway::~Gateway() = default;
 
 void Gateway::run() {
-    const StartDocument &start = around_.start;
-    const auto stopping = [](uv_signal_t *signal, int) { static_cast<Gateway *>(signal->data)->stop(); };
-    uv_signal_start(terminated_.get(), stopping, SIGTERM);
-    uv_signal_start(interrupted_.get(), stopping, SIGINT);
+    const StartDocument &startDocument = context_.startDocument;
+    const auto onStopSignal = [](uv_signal_t *signal, int) { static_cast<Gateway *>(signal->data)->stop(); };
+    uv_signal_start(sigterm_.get(), onStopSignal, SIGTERM);
+    uv_signal_start(sigint_.get(), onStopSignal, SIGINT);
     uv_signal_start(
-        asked_.get(),
+        sigusr1_.get(),
         [](uv_signal_t *signal, int) {
-            const Surroundings &around = static_cast<Gateway *>(signal->data)->around_;
-            around.log.info("counters\n", around.metrics.toText());
+            const ServerContext &context = static_cast<Gateway *>(signal->data)->context_;
+            context.log.info("counters\n", context.metrics.toText());
         },
         SIGUSR1);
     uv_signal_start(
-        renewed_.get(), [](uv_signal_t *signal, int) { static_cast<Gateway *>(signal->data)->reload(); },
+        sighup_.get(), [](uv_signal_t *signal, int) { static_cast<Gateway *>(signal->data)->reload(); },
         SIGHUP);
-    clients_.listen(start.listenAddress);
+    clients_.listen(startDocument.listenAddress);
     peers_.listen();
-    if (!start.cachedWorkerListJson.empty()) {
-        discovery_.known(start.cachedWorkerListJson);
-        around_.alarms.set(around_.clock.now() + readyMost, [this] { clients_.ready(); });
+    if (!startDocument.cachedWorkerListJson.empty()) {
+        discovery_.loadCachedList(startDocument.cachedWorkerListJson);
+        context_.timers.schedule(context_.clock.now() + kMaxReadyDelay, [this] { clients_.setReady(); });
     }
-    discovery_.follow(true);
-    around_.readAt = around_.clock.now();
-    uv_prepare_start(before_.get(),
-                     [](uv_prepare_t *handle) { static_cast<Gateway *>(handle->data)->wake(); });
-    uv_check_start(after_.get(), [](uv_check_t *handle) { static_cast<Gateway *>(handle->data)->turn(); });
-    around_.log.info(start.name, " serving on ", start.listenAddress.host, ":", start.listenAddress.port);
-    uv_run(around_.loop, UV_RUN_DEFAULT);
-    around_.log.info("counters\n", around_.metrics.toText());
+    discovery_.setWatching(true);
+    context_.lastReadAt = context_.clock.now();
+    uv_prepare_start(beforePoll_.get(),
+                     [](uv_prepare_t *handle) { static_cast<Gateway *>(handle->data)->armWakeTimer(); });
+    uv_check_start(afterPoll_.get(),
+                   [](uv_check_t *handle) { static_cast<Gateway *>(handle->data)->processIteration(); });
+    context_.log.info(startDocument.name, " serving on ", startDocument.listenAddress.host, ":",
+                      startDocument.listenAddress.port);
+    uv_run(context_.loop, UV_RUN_DEFAULT);
+    context_.log.info("counters\n", context_.metrics.toText());
 }
 
 void Gateway::stop() {
-    around_.log.info("stopping");
-    clients_.leave();
+    context_.log.info("stopping");
+    clients_.beginPlannedStop();
 }
 
-/// Takes up the addresses of a new start document. Whatever is under way ends where it began; a document that
-/// can't be used changes nothing.
+/// Reads the start document again and takes over its addresses of discovery, the counter and the peers.
+/// Requests in flight end on their present connections. A document that can't be used changes nothing.
 void Gateway::reload() {
     try {
-        StartDocument fresh = reread_();
-        StartDocument &start = around_.start;
-        if (fresh.listenAddress != start.listenAddress ||
-            fresh.peerListenAddress != start.peerListenAddress || fresh.maxSockets != start.maxSockets ||
-            fresh.maxMemoryMb != start.maxMemoryMb || fresh.settingsJson != start.settingsJson) {
-            around_.log.warning("reload: listen addresses, limits and settings change with a restart only");
+        StartDocument fresh = readStartDocument_();
+        StartDocument &current = context_.startDocument;
+        if (fresh.listenAddress != current.listenAddress ||
+            fresh.peerListenAddress != current.peerListenAddress || fresh.maxSockets != current.maxSockets ||
+            fresh.maxMemoryMb != current.maxMemoryMb || fresh.settingsJson != current.settingsJson) {
+            context_.log.warning("reload: listen addresses, limits and settings change with a restart only");
         }
-        const bool discovery = fresh.discoveryAddress != start.discoveryAddress,
-                   counter = fresh.counterAddress != start.counterAddress;
-        start.discoveryAddress = fresh.discoveryAddress;
-        start.counterAddress = fresh.counterAddress;
-        start.peerAddresses = std::move(fresh.peerAddresses);
-        start.allPeersAddress = fresh.allPeersAddress;
-        if (counter) counter_.move();
-        if (discovery) discovery_.move();
-        ++around_.metrics.reloads;
-        around_.log.info("reloaded");
+        const bool hasDiscoveryMoved = fresh.discoveryAddress != current.discoveryAddress;
+        const bool hasCounterMoved = fresh.counterAddress != current.counterAddress;
+        current.discoveryAddress = fresh.discoveryAddress;
+        current.counterAddress = fresh.counterAddress;
+        current.peerAddresses = std::move(fresh.peerAddresses);
+        current.allPeersAddress = fresh.allPeersAddress;
+        if (hasCounterMoved) counter_.onAddressChange();
+        if (hasDiscoveryMoved) discovery_.onAddressChange();
+        ++context_.metrics.reloads;
+        context_.log.info("reloaded");
     } catch (const ConfigError &error) {
-        around_.log.error("reload: ", error.what(), "; all stays as it was");
+        context_.log.error("reload: ", error.what(), "; all stays as it was");
     }
 }
 
-/// Comes after the sockets were read: an answer that was there in time is not given up by an alarm, however
-/// long the machine stood still.
-void Gateway::turn() {
-    const Timestamp now = around_.clock.now();
-    // A loop that was stopped in its sleep comes back without having read: it looks once more before any
-    // alarm.
-    overslept_ = now > wakeBy_ + oversleep && !overslept_;
-    if (!overslept_) {
-        around_.readAt = now;
-        around_.alarms.run(now);
+/// Runs after the sockets were read: a reply that has arrived in time is processed before the timer that
+/// would give up its request, however long the machine stood still.
+void Gateway::processIteration() {
+    const Timestamp now = context_.clock.now();
+    // If the process was stopped while the loop waited, the loop may return without having read the sockets.
+    // It then polls once more before any timer runs.
+    hasOverslept_ = now > wakeBy_ + kMaxWakeDelay && !hasOverslept_;
+    if (!hasOverslept_) {
+        context_.lastReadAt = now;
+        context_.timers.runDue(now);
     }
-    for (int round = 0; round < mostRounds && !around_.happened.empty(); ++round) handOver();
+    for (int round = 0; round < kMaxRoundsPerIteration && !context_.pendingEvents.empty(); ++round)
+        runEngine();
     workers_.flush();
     counter_.flush();
     clients_.flush();
-    if (clients_.gone()) uv_stop(around_.loop);
+    if (clients_.isStopped()) uv_stop(context_.loop);
 }
 
-/// The list goes first: what was told before a send counts, whatever was read before it.
-void Gateway::handOver() {
+/// Passes the pending events to the engine and carries out the actions that it returns. Changes of the list
+/// of workers are passed first: they hold for every try that is sent after they arrived, even if the engine
+/// decides on it because of an event that arrived earlier.
+void Gateway::runEngine() {
     events_.clear();
-    events_.swap(around_.happened);
+    events_.swap(context_.pendingEvents);
     std::ranges::stable_partition(
         events_, [](const Event &event) { return std::holds_alternative<WorkerListUpdated>(event); });
-    const Timestamp now = around_.clock.now();
+    const Timestamp now = context_.clock.now();
     actions_.clear();
     for (const Event &event : events_)
-        std::ranges::move(keeper_.handle(now, event), std::back_inserter(actions_));
+        std::ranges::move(engine_.handle(now, event), std::back_inserter(actions_));
     for (const Action &action : actions_) {
-        std::visit([this](const auto &what) { carry(what); }, action);
+        std::visit([this](const auto &alternative) { execute(alternative); }, action);
     }
 }
 
-/// Lets the loop sleep no longer than until the next alarm, and not at all with something left to hand over.
-void Gateway::wake() {
-    const auto next = around_.happened.empty() ? around_.alarms.next() : std::optional(Timestamp{});
-    if (!next) return;
-    const Timestamp now = around_.clock.now();
-    const std::int64_t left = (*next - now).count();
-    wakeBy_ = std::max(now, *next);
-    uv_update_time(around_.loop);
+/// Limits the loop's wait for input to the time until the next timer is due, and to zero if events are
+/// pending.
+void Gateway::armWakeTimer() {
+    const auto due = context_.pendingEvents.empty() ? context_.timers.nextDue() : std::optional(Timestamp{});
+    if (!due) return;
+    const Timestamp now = context_.clock.now();
+    const std::int64_t remainingUs = (*due - now).count();
+    wakeBy_ = std::max(now, *due);
+    uv_update_time(context_.loop);
     uv_timer_start(
-        timer_.get(), [](uv_timer_t *) {}, left > 0 ? static_cast<std::uint64_t>((left + 999) / 1000) : 0, 0);
+        wakeTimer_.get(), [](uv_timer_t *) {},
+        remainingUs > 0 ? static_cast<std::uint64_t>((remainingUs + 999) / 1000) : 0, 0);
 }
 
-void Gateway::answered(CallId call, std::string_view value) {
-    const auto ended = book_.remove(call);
-    if (!ended) return;
-    ++around_.metrics.callsProxied;
-    clients_.answer(*ended, encodeProxiedAnswer(value));
+void Gateway::handleWorkerAnswer(CallId call, std::string_view value) {
+    const auto closed = pendingCalls_.remove(call);
+    if (!closed) return;
+    ++context_.metrics.callsProxied;
+    clients_.sendAnswer(*closed, encodeProxiedAnswer(value));
 }
 
-void Gateway::carry(const SendTry &action) {
-    PendingCall *held = book_.find(action.call);
-    const TryNumber number{static_cast<std::uint8_t>(held != nullptr ? held->tryCount++ : 0)};
-    if (held == nullptr) return workers_.notSent(action, number);
-    workers_.send(action, number, held->call);
+void Gateway::execute(const SendTry &action) {
+    PendingCall *pending = pendingCalls_.find(action.call);
+    const TryNumber tryNumber{static_cast<std::uint8_t>(pending != nullptr ? pending->tryCount++ : 0)};
+    if (pending == nullptr) return workers_.reportNotSent(action, tryNumber);
+    workers_.sendTry(action, tryNumber, pending->call);
 }
 
-void Gateway::carry(const AnswerRateLimited &action) {
-    const auto ended = book_.remove(action.call);
-    if (!ended) return;
-    ++around_.metrics.callsRateLimited;
-    clients_.answer(*ended, encodeRateLimitedAnswer(action.retryAfter));
+void Gateway::execute(const AnswerRateLimited &action) {
+    const auto closed = pendingCalls_.remove(action.call);
+    if (!closed) return;
+    ++context_.metrics.callsRateLimited;
+    clients_.sendAnswer(*closed, encodeRateLimitedAnswer(action.retryAfter));
 }
 
-void Gateway::carry(const AnswerErrored &action) {
-    const auto ended = book_.remove(action.call);
-    if (!ended) return;
-    ++around_.metrics.callsErrored;
-    clients_.answer(*ended, encodeErroredAnswer());
+void Gateway::execute(const AnswerErrored &action) {
+    const auto closed = pendingCalls_.remove(action.call);
+    if (!closed) return;
+    ++context_.metrics.callsErrored;
+    clients_.sendAnswer(*closed, encodeErroredAnswer());
 }
 
-void Gateway::carry(const SetTimer &action) {
-    around_.alarms.set(action.due,
-                       [this, token = action.token] { around_.happened.emplace_back(TimerFired{token}); });
+void Gateway::execute(const SetTimer &action) {
+    context_.timers.schedule(
+        action.due, [this, token = action.token] { context_.pendingEvents.emplace_back(TimerFired{token}); });
 }
 
 }  // namespace arrowstile
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -1,34 +1,40 @@
+/// \file
+/// The gateway process: the decision engine on the event loop, with all its connections.
 #pragma once
 
 #include <arrowstile/decision_engine.hpp>
 #include <functional>
 #include <memory>
 
-#include "clients.hpp"
+#include "client_connections.hpp"
 #include "core/pending_calls.hpp"
-#include "counter.hpp"
-#include "discovery.hpp"
-#include "peers.hpp"
-#include "surroundings.hpp"
-#include "workers.hpp"
+#include "counter_client.hpp"
+#include "discovery_client.hpp"
+#include "peer_socket.hpp"
+#include "server_context.hpp"
+#include "worker_connections.hpp"
 
 namespace arrowstile {
 
-/// One gatekeeper on sockets: gathers what is ready, hands it to the decisions in one go and carries out what
-/// comes back.
+/// One gateway. In each iteration of the event loop it collects what has arrived on its sockets as events,
+/// passes them to the decision engine together and carries out the actions that the engine returns.
 class Gateway {
 public:
-    /// `reread` is asked for the start document again on SIGHUP; it throws ConfigError if that can't be used.
-    Gateway(uv_loop_t *loop, StartDocument start, Log &log, std::function<StartDocument()> reread);
+    /// `readStartDocument` is called on SIGHUP to read the start document again; it throws ConfigError if
+    /// that is not possible. The loop and the log must outlive the gateway, and the loop must run once more
+    /// after the gateway's destruction, to close the remaining handles.
+    Gateway(uv_loop_t *loop, StartDocument startDocument, Log &log,
+            std::function<StartDocument()> readStartDocument);
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
     ~Gateway();
 
-    /// Serves until a planned stop is through.
+    /// Serves clients until SIGTERM or SIGINT has begun a planned stop and that is complete. Throws
+    /// ConfigError if an address can't be listened on or the cached list of workers can't be read.
     void run();
 
 private:
-    struct Closing {
+    struct HandleCloser {
         template <class Handle>
         void operator()(Handle *handle) const {
             uv_close(reinterpret_cast<uv_handle_t *>(handle),
@@ -36,43 +42,46 @@
         }
     };
 
-    void turn();
-    void handOver();
-    void wake();
+    void processIteration();
+    void runEngine();
+    void armWakeTimer();
     void stop();
     void reload();
-    void answered(CallId call, std::string_view value);
+    void handleWorkerAnswer(CallId call, std::string_view value);
 
-    void carry(const SendTry &action);
-    void carry(const AnswerRateLimited &action);
-    void carry(const AnswerErrored &action);
-    void carry(const CancelTry &action) { workers_.callOff(action.call, action.tryNumber); }
-    void carry(const SetTimer &action);
-    void carry(const ProbeWorker &action) { workers_.probe(action.worker); }
-    void carry(const CloseIdleConnections &action) { workers_.closeIdle(action.worker); }
-    void carry(const SendPeerMessage &action) { peers_.tell(action); }
-    void carry(const AddToCount &action) { counter_.add(action); }
-    void carry(const WatchWorkerList &action) { discovery_.follow(action.enabled); }
-    void carry(const FetchWorkerList &) { discovery_.fetch(); }
-    void carry(const WriteLog &action) { around_.log.info(action.text); }
+    void execute(const SendTry &action);
+    void execute(const AnswerRateLimited &action);
+    void execute(const AnswerErrored &action);
+    void execute(const CancelTry &action) { workers_.cancelTry(action.call, action.tryNumber); }
+    void execute(const SetTimer &action);
+    void execute(const ProbeWorker &action) { workers_.sendProbe(action.worker); }
+    void execute(const CloseIdleConnections &action) { workers_.closeIdleConnections(action.worker); }
+    void execute(const SendPeerMessage &action) { peers_.send(action); }
+    void execute(const AddToCount &action) { counter_.addToCount(action); }
+    void execute(const WatchWorkerList &action) { discovery_.setWatching(action.enabled); }
+    void execute(const FetchWorkerList &) { discovery_.fetchList(); }
+    void execute(const WriteLog &action) { context_.log.info(action.text); }
 
-    Surroundings around_;
-    std::function<StartDocument()> reread_;
-    DecisionEngine keeper_;
-    PendingCallTable book_;
-    Clients clients_;
-    Workers workers_;
-    Counter counter_;
-    Discovery discovery_;
-    Peers peers_;
-    Timestamp wakeBy_{};
-    bool overslept_ = false;
-    std::vector<Event> events_;
-    std::vector<Action> actions_;
-    std::unique_ptr<uv_prepare_t, Closing> before_;
-    std::unique_ptr<uv_check_t, Closing> after_;
-    std::unique_ptr<uv_timer_t, Closing> timer_;
-    std::unique_ptr<uv_signal_t, Closing> terminated_, interrupted_, asked_, renewed_;
+    ServerContext context_;
+    std::function<StartDocument()> readStartDocument_;
+    DecisionEngine engine_;
+    PendingCallTable pendingCalls_;
+    ClientConnections clients_;
+    WorkerConnections workers_;
+    CounterClient counter_;
+    DiscoveryClient discovery_;
+    PeerSocket peers_;
+    Timestamp wakeBy_{};           ///< when the loop has to return from waiting for input
+    bool hasOverslept_ = false;    ///< the current iteration began late, so it runs no timers
+    std::vector<Event> events_;    ///< being processed; a member to reuse its memory
+    std::vector<Action> actions_;  ///< being carried out; a member to reuse its memory
+    std::unique_ptr<uv_prepare_t, HandleCloser> beforePoll_;
+    std::unique_ptr<uv_check_t, HandleCloser> afterPoll_;
+    std::unique_ptr<uv_timer_t, HandleCloser> wakeTimer_;
+    std::unique_ptr<uv_signal_t, HandleCloser> sigterm_;
+    std::unique_ptr<uv_signal_t, HandleCloser> sigint_;
+    std::unique_ptr<uv_signal_t, HandleCloser> sigusr1_;
+    std::unique_ptr<uv_signal_t, HandleCloser> sighup_;
 };
 
 }  // namespace arrowstile
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,3 +1,5 @@
+/// \file
+/// The program's log.
 #pragma once
 
 #include <ostream>
@@ -5,18 +7,20 @@
 
 namespace arrowstile {
 
-/// Lines for whoever runs the gatekeeper; what lies under the level costs nothing.
+/// Writes lines of text for the operator to a stream. Each line starts with the name of its level.
 class Log {
 public:
     enum class Level { error, warning, info, debug };
 
+    /// Lines less severe than `level` are discarded without being formatted. `out` must outlive the log.
     Log(std::ostream &out, Level level) : out_(out), level_(level) {}
 
+    /// Writes one line that consists of `parts`, and flushes the stream.
     template <class... Parts>
     void write(Level level, const Parts &...parts) {
-        static constexpr std::string_view names[] = {"error", "warning", "info", "debug"};
+        static constexpr std::string_view levelNames[] = {"error", "warning", "info", "debug"};
         if (level > level_) return;
-        out_ << names[static_cast<int>(level)] << ' ';
+        out_ << levelNames[static_cast<int>(level)] << ' ';
         (out_ << ... << parts) << std::endl;
     }
 
--- /dev/null
+++ b/src/net/tcp_connection.cpp
@@ -0,0 +1,169 @@
+#include "tcp_connection.hpp"
+
+#include <sys/socket.h>
+
+#include <cerrno>
+#include <cstring>
+#include <utility>
+
+namespace arrowstile {
+namespace {
+
+constexpr std::size_t kInitialInputBufferBytes = 2048;
+/// Before a read the buffer is compacted, and doubled if necessary, until this much of it is free.
+constexpr std::size_t kMinReadBytes = 1024;
+/// Larger buffers are freed as soon as they are empty.
+constexpr std::size_t kMaxIdleBufferBytes = 16 * 1024;
+
+TcpConnection *toConnection(void *data) { return static_cast<TcpConnection *>(data); }
+
+}  // namespace
+
+sockaddr_in toSocketAddress(const Address &address) {
+    sockaddr_in result{};
+    uv_ip4_addr(address.host.c_str(), address.port, &result);
+    return result;
+}
+
+TcpConnection::TcpConnection(uv_loop_t *loop, Handler *handler) : handler_(handler) {
+    uv_tcp_init(loop, &tcp_);
+    tcp_.data = this;
+}
+
+void TcpConnection::Closer::operator()(TcpConnection *connection) const {
+    connection->handler_ = nullptr;
+    uv_close(reinterpret_cast<uv_handle_t *>(&connection->tcp_),
+             [](uv_handle_t *handle) { delete toConnection(handle->data); });
+}
+
+TcpConnection::Ptr TcpConnection::connect(uv_loop_t *loop, const Address &to, Handler *handler) {
+    Ptr connection(new TcpConnection(loop, handler));
+    const sockaddr_in address = toSocketAddress(to);
+    connection->connectRequest_.data = connection.get();
+    const int error =
+        uv_tcp_connect(&connection->connectRequest_, &connection->tcp_,
+                       reinterpret_cast<const sockaddr *>(&address), [](uv_connect_t *request, int status) {
+                           TcpConnection *self = toConnection(request->data);
+                           if (self->handler_ == nullptr) return;
+                           if (status == 0) self->handleOpen();
+                           if (status != 0) self->handleClose();
+                       });
+    return error == 0 ? std::move(connection) : nullptr;
+}
+
+TcpConnection::Ptr TcpConnection::accept(uv_stream_t *listener, Handler *handler) {
+    Ptr connection(new TcpConnection(listener->loop, handler));
+    if (uv_accept(listener, reinterpret_cast<uv_stream_t *>(&connection->tcp_)) != 0) return nullptr;
+    connection->handleOpen();
+    return connection;
+}
+
+void TcpConnection::handleOpen() {
+    isOpen_ = true;
+    uv_tcp_nodelay(&tcp_, 1);
+    uv_read_start(reinterpret_cast<uv_stream_t *>(&tcp_), onAllocate, onRead);
+    handler_->onOpen();
+}
+
+/// Reports the end of the connection to the handler, once.
+void TcpConnection::handleClose() {
+    if (isClosed_ || handler_ == nullptr) return;
+    isClosed_ = true;
+    uv_read_stop(reinterpret_cast<uv_stream_t *>(&tcp_));
+    handler_->onClosed();
+}
+
+/// Offers the free end of the input buffer to libuv for the next read.
+void TcpConnection::onAllocate(uv_handle_t *handle, std::size_t, uv_buf_t *buffer) {
+    TcpConnection &self = *toConnection(handle->data);
+    if (self.inputBegin_ == self.inputEnd_) {
+        self.inputBegin_ = self.inputEnd_ = 0;
+    }
+    if (self.inputBuffer_.size() - self.inputEnd_ < kMinReadBytes && self.inputBegin_ > 0) {
+        std::memmove(self.inputBuffer_.data(), self.inputBuffer_.data() + self.inputBegin_,
+                     self.inputEnd_ - self.inputBegin_);
+        self.inputEnd_ -= self.inputBegin_;
+        self.inputBegin_ = 0;
+    }
+    if (self.inputBuffer_.size() - self.inputEnd_ < kMinReadBytes) {
+        self.inputBuffer_.resize(self.inputBuffer_.empty() ? kInitialInputBufferBytes
+                                                           : self.inputBuffer_.size() * 2);
+    }
+    *buffer = uv_buf_init(self.inputBuffer_.data() + self.inputEnd_,
+                          static_cast<unsigned>(self.inputBuffer_.size() - self.inputEnd_));
+}
+
+void TcpConnection::onRead(uv_stream_t *handle, ssize_t size, const uv_buf_t *) {
+    TcpConnection &self = *toConnection(handle->data);
+    if (self.handler_ == nullptr || size == 0) return;
+    if (size < 0) return self.handleClose();
+    self.inputEnd_ += static_cast<std::size_t>(size);
+    self.deliverInput();
+}
+
+void TcpConnection::deliverInput() {
+    const std::size_t consumedBytes =
+        handler_->onData({inputBuffer_.data() + inputBegin_, inputEnd_ - inputBegin_});
+    if (handler_ == nullptr) return;
+    inputBegin_ += consumedBytes;
+    if (inputBegin_ == inputEnd_ && inputBuffer_.size() > kMaxIdleBufferBytes) {
+        inputBuffer_ = {};
+        inputBegin_ = inputEnd_ = 0;
+    }
+}
+
+void TcpConnection::flush() {
+    if (!isOpen_ || isClosed_ || queuedOutput_.empty() || !outputBeingWritten_.empty()) return;
+    const auto handle = reinterpret_cast<uv_stream_t *>(&tcp_);
+    uv_buf_t buffer = uv_buf_init(queuedOutput_.data(), static_cast<unsigned>(queuedOutput_.size()));
+    const int writtenBytes = uv_try_write(handle, &buffer, 1);
+    if (writtenBytes > 0) {
+        sentBytes_ += static_cast<std::uint64_t>(writtenBytes);
+        queuedOutput_.erase(0, static_cast<std::size_t>(writtenBytes));
+    }
+    if (queuedOutput_.empty()) {
+        if (queuedOutput_.capacity() > kMaxIdleBufferBytes) queuedOutput_ = {};
+        return;
+    }
+    outputBeingWritten_.swap(queuedOutput_);
+    writeRequest_.data = this;
+    buffer = uv_buf_init(outputBeingWritten_.data(), static_cast<unsigned>(outputBeingWritten_.size()));
+    if (uv_write(&writeRequest_, handle, &buffer, 1, onWritten) != 0) outputBeingWritten_.clear();
+}
+
+void TcpConnection::onWritten(uv_write_t *request, int status) {
+    TcpConnection &self = *toConnection(request->data);
+    if (status == 0) self.sentBytes_ += self.outputBeingWritten_.size();
+    self.outputBeingWritten_ = {};
+    if (self.handler_ == nullptr) return;
+    if (status != 0) return self.handleClose();
+    self.flush();
+    if (self.unsentBytes() == 0) self.handler_->onOutputSent();
+}
+
+void TcpConnection::shutdownWrite() {
+    if (std::exchange(isWriteShutdown_, true) || !isOpen_ || isClosed_) return;
+    uv_shutdown(&shutdownRequest_, reinterpret_cast<uv_stream_t *>(&tcp_), [](uv_shutdown_t *, int) {});
+}
+
+bool TcpConnection::hasUnreadInput() const {
+    uv_os_fd_t descriptor;
+    char byte;
+    if (uv_fileno(reinterpret_cast<const uv_handle_t *>(&tcp_), &descriptor) != 0) return true;
+    return ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 ||
+           (errno != EAGAIN && errno != EWOULDBLOCK);
+}
+
+void TcpConnection::setReadPaused(bool paused) {
+    if (!isOpen_ || isClosed_) return;
+    const auto handle = reinterpret_cast<uv_stream_t *>(&tcp_);
+    if (paused) {
+        uv_read_stop(handle);
+    } else {
+        uv_read_start(handle, onAllocate, onRead);
+        // No further input need arrive to trigger the processing of what was read before the pause.
+        if (inputBegin_ < inputEnd_) deliverInput();
+    }
+}
+
+}  // namespace arrowstile
--- /dev/null
+++ b/src/net/tcp_connection.hpp
@@ -0,0 +1,99 @@
+/// \file
+/// A TCP connection on the libuv event loop, with buffers for input and output.
+#pragma once
+
+#include <uv.h>
+
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "core/start_document.hpp"
+
+namespace arrowstile {
+
+/// A TCP connection. It is owned through TcpConnection::Ptr. Destroying that pointer closes the connection at
+/// once and discards output that was not sent; the object itself is freed when libuv has closed the handle.
+class TcpConnection {
+public:
+    /// Receives the events of a connection. Once the connection's pointer was destroyed, no further function
+    /// is called.
+    struct Handler {
+        /// The connection is established.
+        virtual void onOpen() {}
+        /// `bytes` is all input that was not consumed yet. Returns how many bytes of it are consumed now; the
+        /// rest is passed again together with the next input.
+        virtual std::size_t onData(std::string_view bytes) = 0;
+        /// All output that had to wait for the peer was sent.
+        virtual void onOutputSent() {}
+        /// The peer closed the connection, it failed, or it could not be established. Called once at most;
+        /// the handler then destroys the connection's pointer, here or later.
+        virtual void onClosed() = 0;
+
+    protected:
+        ~Handler() = default;
+    };
+    /// Deleter of Ptr: closes the connection.
+    struct Closer {
+        void operator()(TcpConnection *connection) const;
+    };
+    using Ptr = std::unique_ptr<TcpConnection, Closer>;
+
+    /// Starts to connect. Returns nullptr if that fails at once; otherwise onOpen or onClosed follows.
+    static Ptr connect(uv_loop_t *loop, const Address &to, Handler *handler);
+    /// Accepts the next connection of a listening socket. Returns nullptr if there is none.
+    static Ptr accept(uv_stream_t *listener, Handler *handler);
+
+    TcpConnection(const TcpConnection &) = delete;
+    TcpConnection &operator=(const TcpConnection &) = delete;
+
+    /// Appends to the output, which is sent by the next flush().
+    void write(std::string_view bytes) { queuedOutput_ += bytes; }
+    /// Sends the queued output. What the system doesn't take now is sent when it becomes writable.
+    void flush();
+    /// Closes the sending direction only; the peer may go on sending.
+    void shutdownWrite();
+    /// Stops reading, or resumes it and passes input that was read before to the handler again.
+    void setReadPaused(bool paused);
+    /// Whether input, or the end of the connection, has arrived in the system and was not read yet.
+    bool hasUnreadInput() const;
+    /// Bytes written that were not handed to the system yet.
+    std::size_t unsentBytes() const { return queuedOutput_.size() + outputBeingWritten_.size(); }
+    /// Bytes handed to the system since the connection was made.
+    std::uint64_t sentBytes() const { return sentBytes_; }
+
+private:
+    TcpConnection(uv_loop_t *loop, Handler *handler);
+    ~TcpConnection() = default;
+
+    void handleOpen();
+    void deliverInput();
+    void handleClose();
+    static void onAllocate(uv_handle_t *handle, std::size_t, uv_buf_t *buffer);
+    static void onRead(uv_stream_t *handle, ssize_t size, const uv_buf_t *);
+    static void onWritten(uv_write_t *request, int status);
+
+    uv_tcp_t tcp_{};
+    uv_connect_t connectRequest_{};
+    uv_write_t writeRequest_{};
+    uv_shutdown_t shutdownRequest_{};
+    Handler *handler_;  ///< nullptr once the connection's pointer was destroyed
+    /// Grows as needed. Input that was not consumed yet lies in [inputBegin_, inputEnd_) and is moved to the
+    /// front when space runs short.
+    std::vector<char> inputBuffer_;
+    std::size_t inputBegin_ = 0;
+    std::size_t inputEnd_ = 0;
+    std::string queuedOutput_;        ///< not handed to libuv yet
+    std::string outputBeingWritten_;  ///< in use by writeRequest_
+    std::uint64_t sentBytes_ = 0;
+    bool isOpen_ = false;
+    bool isWriteShutdown_ = false;
+    bool isClosed_ = false;
+};
+
+/// Converts a literal IPv4 address to the form that the socket functions take.
+sockaddr_in toSocketAddress(const Address &address);
+
+}  // namespace arrowstile
--- /dev/null
+++ b/src/net/worker_connections.cpp
@@ -0,0 +1,411 @@
+#include "worker_connections.hpp"
+
+#include <algorithm>
+#include <deque>
+
+namespace arrowstile {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr Duration kCleanupInterval = milliseconds(500);
+/// This gateway closes an idle connection after 1/2 of the time after which the worker's machine would. The
+/// machine may close it earlier than the settings say, and a try that crosses that close may have run.
+constexpr int kIdleTimeoutDivisor = 2;
+/// Worker machines may also use a shorter timeout on some days. Once an earlier close is observed, the
+/// timeout is reduced to 1/2 of the shortest idle time seen; it then grows by 1/100 per cleanup up to the
+/// usual value.
+constexpr int kIdleTimeoutGrowthDivisor = 100;
+/// A close after a shorter idle time is not an idle timeout: some answers end their connection.
+constexpr Duration kMinObservedIdle = milliseconds(20);
+
+const char *outcomeName(Outcome outcome) {
+    static constexpr const char *names[] = {"answered",       "errored", "overloaded", "timed out",
+                                            "connect failed", "reset",   "cancelled",  "not sent"};
+    return names[static_cast<std::size_t>(outcome)];
+}
+
+}  // namespace
+
+/// A try or a probe whose reply is awaited.
+struct WorkerConnections::InFlightRequest {
+    WorkerId worker;
+    CallId call;          ///< of a try
+    TryNumber tryNumber;  ///< of a try
+    bool isProbe = false;
+    Timestamp sentAt{};
+    Duration timeout{};
+    std::uint64_t endOffset = 0;  ///< in the connection's output, of the byte after the request
+    TimerQueue::Key timeoutTimer{};
+};
+
+/// A worker and the connections to it.
+struct WorkerConnections::ConnectionPool {
+    Address address;
+    Timestamp startedAt{};
+    bool isReady = false;
+    bool isGone = false;
+    bool hasValidAddress = false;
+    std::vector<std::unique_ptr<Connection>> connections;  ///< the most recently used one is last
+};
+
+struct WorkerConnections::Connection final : TcpConnection::Handler {
+    Connection(WorkerConnections &connections, WorkerId to) : owner(connections), worker(to) {}
+
+    ~Connection() {
+        owner.incompleteReplyBytes_ -= incompleteReplyBytes;
+        owner.context_.timers.cancel(connectTimer);
+        for (const InFlightRequest &request : inFlight) owner.context_.timers.cancel(request.timeoutTimer);
+        owner.unflushedConnections_.erase(this);
+        --owner.connectionCount_;
+    }
+
+    void onOpen() override;
+
+    std::size_t onData(std::string_view bytes) override;
+    std::size_t closeOnInvalidReply();
+
+    void onClosed() override {
+        const Timestamp idleUntil = inFlight.empty() ? owner.context_.clock.now() : inFlight.front().sentAt;
+        if (isOpen && idleSince > Timestamp{} && !hasReceivedSinceIdle)
+            owner.shortenIdleTimeout(idleUntil - idleSince);
+        owner.closeConnection(*this, Outcome::reset);
+    }
+
+    WorkerConnections &owner;
+    const WorkerId worker;
+    TcpConnection::Ptr tcp;
+    std::deque<InFlightRequest> inFlight;  ///< in the order in which they were sent
+    std::uint64_t writtenBytes = 0;
+    std::size_t incompleteReplyBytes = 0;  ///< buffered input that is not a whole reply yet
+    Timestamp idleSince{};                 ///< when the last awaited reply was received; zero before that
+    TimerQueue::Key connectTimer{};
+    bool isOpen = false;
+    bool hasReceivedSinceIdle = false;
+};
+
+WorkerConnections::WorkerConnections(ServerContext &context, AnswerCallback onAnswer,
+                                     IsCallClosed isCallClosed)
+    : context_(context),
+      onAnswer_(std::move(onAnswer)),
+      isCallClosed_(std::move(isCallClosed)),
+      idleTimeout_(context.startDocument.settings.workerIdleTimeout / kIdleTimeoutDivisor) {
+    context_.timers.schedule(context_.clock.now() + kCleanupInterval, [this] { cleanUp(); });
+}
+
+WorkerConnections::~WorkerConnections() { pools_.clear(); }
+
+void WorkerConnections::updateWorkers(const DiscoveryUpdate &update) {
+    if (update.isSnapshot) {
+        for (auto &[id, pool] : pools_) {
+            pool.isReady = false;
+            pool.isGone = true;
+        }
+    }
+    for (const DiscoveredWorker &listed : update.workers) {
+        ConnectionPool &pool = pools_[listed.entry.worker];
+        Address address = pool.address;
+        if (!listed.address.empty()) {
+            try {
+                address = parseAddress(listed.address, "address of a worker");
+                pool.hasValidAddress = true;
+            } catch (const ConfigError &error) {
+                context_.log.warning(error.what());
+                pool.hasValidAddress = false;
+            }
+        }
+        // Idle connections lead to the worker's old process or address.
+        const bool hasMoved = pool.startedAt != listed.entry.startedAt || pool.address != address;
+        pool.address = address;
+        pool.startedAt = listed.entry.startedAt;
+        pool.isReady = listed.entry.state == WorkerState::ready;
+        pool.isGone = listed.entry.state == WorkerState::gone;
+        if (hasMoved) closeIdleConnections(listed.entry.worker);
+    }
+    for (auto &[id, pool] : pools_) {
+        if (!pool.isReady) closeIdleConnections(id);
+    }
+}
+
+void WorkerConnections::reportNotSent(const SendTry &action, TryNumber tryNumber) {
+    reportEnd({action.worker, action.call, tryNumber, false, context_.clock.now()}, Outcome::notSent,
+              nullptr);
+}
+
+void WorkerConnections::sendTry(const SendTry &action, TryNumber tryNumber, const ApiCall &call) {
+    const auto found = pools_.find(action.worker);
+    if (found == pools_.end()) return reportNotSent(action, tryNumber);
+    const Timestamp now = context_.clock.now();
+    InFlightRequest request{action.worker, action.call, tryNumber, false, now, action.deadline - now};
+    if (request.timeout <= Duration{}) return reportEnd(request, Outcome::notSent, nullptr);
+    std::string command;
+    call.appendCommand(command, request.timeout);
+    sendRequest(found->second, action.worker, request, std::move(command));
+}
+
+void WorkerConnections::sendProbe(WorkerId worker) {
+    const auto found = pools_.find(worker);
+    const Timestamp now = context_.clock.now();
+    InFlightRequest request{worker, {}, {}, true, now, context_.startDocument.settings.engine.connectTimeout};
+    if (found == pools_.end()) return reportEnd(request, Outcome::connectFailed, nullptr);
+    std::string command;
+    const bool isLoadWanted =
+        context_.startDocument.settings.engine.loadReportMode == LoadReportMode::byProbe;
+    resp::appendArrayHeader(command, isLoadWanted ? 2 : 1);
+    resp::appendBulk(command, isLoadWanted ? "INFO" : "PING");
+    if (isLoadWanted) resp::appendBulk(command, "load");
+    sendRequest(found->second, worker, request, std::move(command));
+}
+
+/// Each try gets a connection of its own, because a try that is given up closes its connection, and replies
+/// on a shared connection wait for each other. Tries share connections only when the maximum number of
+/// connections is reached, up to the number of tries per connection that the settings allow.
+void WorkerConnections::sendRequest(ConnectionPool &pool, WorkerId worker, InFlightRequest request,
+                                    std::string command) {
+    Connection *connection = takeIdleConnection(pool);
+    if (connection != nullptr) {
+        // An idle connection is reused; this is the usual case.
+    } else if (connectionCount_ < context_.limits.maxWorkerConnections) {
+        connection = pool.hasValidAddress ? connect(pool, worker) : nullptr;
+        if (connection == nullptr) return reportEnd(request, Outcome::connectFailed, nullptr);
+    } else {
+        const auto leastLoaded = std::ranges::min_element(pool.connections, {}, [](const auto &candidate) {
+            return std::pair(!candidate->isOpen, candidate->inFlight.size());
+        });
+        if (leastLoaded == pool.connections.end() ||
+            (*leastLoaded)->inFlight.size() >= context_.startDocument.settings.maxTriesPerConnection) {
+            return reportEnd(request, Outcome::notSent, nullptr);
+        }
+        connection = leastLoaded->get();
+    }
+    ++context_.metrics.triesSent;
+    connection->tcp->write(command);
+    connection->writtenBytes += command.size();
+    request.endOffset = connection->writtenBytes;
+    request.timeoutTimer = context_.timers.schedule(
+        request.sentAt + request.timeout,
+        [this, connection, call = request.call, tryNumber = request.tryNumber] {
+            const auto found =
+                std::ranges::find_if(connection->inFlight, [&](const InFlightRequest &candidate) {
+                    return candidate.call == call && candidate.tryNumber == tryNumber;
+                });
+            const InFlightRequest timedOut = *found;
+            connection->inFlight.erase(found);
+            closeConnection(*connection, Outcome::reset);
+            reportEnd(timedOut, Outcome::timedOut, nullptr);
+        });
+    connection->inFlight.push_back(request);
+    if (connection->isOpen) unflushedConnections_.insert(connection);
+}
+
+/// Returns the most recently used idle connection that is fit for use, or nullptr. Closes idle connections
+/// that it finds expired, closed by the worker or with unread input: input on an idle connection belongs to
+/// no request and would be taken for the reply to the next one.
+WorkerConnections::Connection *WorkerConnections::takeIdleConnection(ConnectionPool &pool) {
+    for (auto index = pool.connections.size(); index > 0; --index) {
+        const auto candidate = pool.connections.begin() + static_cast<std::ptrdiff_t>(index) - 1;
+        if (!(*candidate)->isOpen || !(*candidate)->inFlight.empty()) continue;
+        if ((*candidate)->tcp->hasUnreadInput() ||
+            context_.clock.now() - (*candidate)->idleSince > idleTimeout_) {
+            pool.connections.erase(candidate);
+            continue;
+        }
+        std::rotate(candidate, candidate + 1, pool.connections.end());
+        return pool.connections.back().get();
+    }
+    return nullptr;
+}
+
+/// Starts to connect to a worker. Returns nullptr if that fails at once.
+WorkerConnections::Connection *WorkerConnections::connect(ConnectionPool &pool, WorkerId worker) {
+    auto created = std::make_unique<Connection>(*this, worker);
+    Connection *connection = created.get();
+    ++connectionCount_;
+    connection->tcp = TcpConnection::connect(context_.loop, pool.address, connection);
+    if (!connection->tcp) return nullptr;
+    ++context_.metrics.workerConnections;
+    connection->connectTimer = context_.timers.schedule(
+        context_.clock.now() + context_.startDocument.settings.engine.connectTimeout,
+        [this, connection] { closeConnection(*connection, Outcome::connectFailed); });
+    pool.connections.push_back(std::move(created));
+    return connection;
+}
+
+/// Closes a connection and reports the end of all requests in flight on it: as `outcome` if the whole request
+/// was handed to the system, and otherwise as connectFailed, because then the worker can't have received it.
+/// Every connection with requests in flight is closed here.
+void WorkerConnections::closeConnection(Connection &connection, Outcome outcome) {
+    auto &connections = pools_.at(connection.worker).connections;
+    const auto found = std::ranges::find_if(
+        connections, [&](const auto &candidate) { return candidate.get() == &connection; });
+    const auto closing = std::move(*found);
+    connections.erase(found);
+    for (const InFlightRequest &request : closing->inFlight) {
+        const bool wasSent = closing->isOpen && closing->tcp->sentBytes() >= request.endOffset;
+        reportEnd(request, wasSent ? outcome : Outcome::connectFailed, nullptr);
+    }
+}
+
+void WorkerConnections::Connection::onOpen() {
+    owner.context_.timers.cancel(connectTimer);
+    isOpen = true;
+    // The worker may have begun to drain, or gone, since the connection was started: it gets no new requests.
+    if (!owner.pools_.at(worker).isReady) return owner.closeConnection(*this, Outcome::connectFailed);
+    owner.unflushedConnections_.insert(this);
+}
+
+std::size_t WorkerConnections::Connection::onData(std::string_view bytes) {
+    std::size_t consumedBytes = 0;
+    resp::Reply reply;
+    hasReceivedSinceIdle = true;
+    while (consumedBytes < bytes.size()) {
+        const auto rest = bytes.substr(consumedBytes);
+        const auto maxValueBytes = owner.context_.limits.maxReplyValueBytes;
+        const auto parsed =
+            inFlight.empty() || !(inFlight.front().isProbe || mayBecomeCallReply(rest, maxValueBytes))
+                ? resp::ParseResult::malformed
+                : resp::parseReply(rest, reply, maxValueBytes);
+        if (parsed == resp::ParseResult::incomplete) break;
+        if (parsed == resp::ParseResult::malformed) return closeOnInvalidReply();
+        consumedBytes += reply.consumedBytes;
+        const InFlightRequest request = inFlight.front();
+        inFlight.pop_front();
+        owner.context_.timers.cancel(request.timeoutTimer);
+        WorkerReply workerReply = parseWorkerReply(reply, owner.context_.startDocument.settings);
+        if (request.isProbe) {
+            const bool isLoadReport = reply.kind == resp::Reply::Kind::bulk;
+            if (isLoadReport)
+                workerReply.load = parseLoadReport(reply.text, owner.context_.startDocument.settings);
+            if (isLoadReport || reply.kind == resp::Reply::Kind::status)
+                workerReply.outcome = Outcome::answered;
+        }
+        if (workerReply.isUnexpected && !request.isProbe) {
+            inFlight.push_front(request);
+            return closeOnInvalidReply();
+        }
+        if (workerReply.isSyntaxError)
+            owner.context_.log.error("a worker could not read a command: ", reply.text);
+        owner.reportEnd(request, workerReply.outcome, &workerReply);
+    }
+    if (inFlight.empty()) {
+        idleSince = owner.context_.clock.now();
+        hasReceivedSinceIdle = false;
+        if (!owner.pools_.at(worker).isReady) {
+            owner.closeConnection(*this, Outcome::reset);
+            return 0;
+        }
+    }
+    owner.incompleteReplyBytes_ += bytes.size() - consumedBytes - incompleteReplyBytes;
+    incompleteReplyBytes = bytes.size() - consumedBytes;
+    return consumedBytes;
+}
+
+/// Closes the connection, because its input can no longer be matched to requests. Returns the number of bytes
+/// consumed. Tries on it may have run; they count as errored, since the close says little about the worker.
+std::size_t WorkerConnections::Connection::closeOnInvalidReply() {
+    if (!inFlight.empty()) ++owner.context_.metrics.repliesSpoilt;
+    owner.closeConnection(*this, Outcome::errored);
+    return 0;
+}
+
+/// Counts the end of a request, adds the event that reports it and delivers the value of a successful try.
+/// `reply` is nullptr if there was none.
+void WorkerConnections::reportEnd(const InFlightRequest &request, Outcome outcome, const WorkerReply *reply) {
+    Metrics &metrics = context_.metrics;
+    switch (outcome) {
+        case Outcome::answered: ++metrics.triesAnswered; break;
+        case Outcome::errored: ++metrics.triesErrored; break;
+        case Outcome::overloaded: ++metrics.triesFull; break;
+        case Outcome::timedOut: ++metrics.triesTimedOut; break;
+        case Outcome::connectFailed: ++metrics.triesUnconnected; break;
+        case Outcome::reset: ++metrics.triesReset; break;
+        case Outcome::cancelled: ++metrics.triesCalledOff; break;
+        case Outcome::notSent: ++metrics.triesNotSent; break;
+    }
+    const Duration latency = context_.clock.now() - request.sentAt;
+    const std::vector<double> load = reply != nullptr ? reply->load : std::vector<double>{};
+    if (request.isProbe) {
+        context_.pendingEvents.emplace_back(ProbeEnded{request.worker, outcome, latency, load});
+        return;
+    }
+    if (outcome != Outcome::answered) {
+        const auto pool = pools_.find(request.worker);
+        const Address address = pool == pools_.end() ? Address{} : pool->second.address;
+        context_.log.debug("try at ", address.host, ":", address.port, " ended: ", outcomeName(outcome),
+                           " after ", latency.count() / 1000, " ms");
+    }
+    TryEnded event{request.call, request.tryNumber, request.worker, outcome, latency, false, {}, {}, load};
+    if (outcome == Outcome::answered) {
+        event.rateUsedFraction = reply->rateUsedFraction;
+        event.actualUnits = reply->actualUnits;
+        onAnswer_(request.call, reply->value);
+        event.isCallClosed = true;
+    } else {
+        event.isCallClosed = isCallClosed_(request.call);
+    }
+    context_.pendingEvents.emplace_back(std::move(event));
+}
+
+void WorkerConnections::cancelTry(CallId call, TryNumber tryNumber) {
+    for (auto &[id, pool] : pools_) {
+        for (const auto &connection : pool.connections) {
+            const auto found =
+                std::ranges::find_if(connection->inFlight, [&](const InFlightRequest &candidate) {
+                    return !candidate.isProbe && candidate.call == call && candidate.tryNumber == tryNumber;
+                });
+            if (found == connection->inFlight.end()) continue;
+            const InFlightRequest cancelled = *found;
+            context_.timers.cancel(cancelled.timeoutTimer);
+            connection->inFlight.erase(found);
+            closeConnection(*connection, Outcome::reset);
+            return reportEnd(cancelled, Outcome::cancelled, nullptr);
+        }
+    }
+}
+
+/// Called when a worker's machine closed a connection that had been idle for `observedIdle`.
+void WorkerConnections::shortenIdleTimeout(Duration observedIdle) {
+    if (observedIdle >= kMinObservedIdle)
+        idleTimeout_ = std::min(idleTimeout_, observedIdle / kIdleTimeoutDivisor);
+}
+
+void WorkerConnections::closeIdleConnections(WorkerId worker) {
+    const auto found = pools_.find(worker);
+    if (found == pools_.end()) return;
+    std::erase_if(found->second.connections,
+                  [](const auto &connection) { return connection->isOpen && connection->inFlight.empty(); });
+}
+
+void WorkerConnections::flush() {
+    // The longest incomplete reply is given up first, so that the others can be completed.
+    while (incompleteReplyBytes_ > context_.limits.maxBufferedBytesPerKind) {
+        Connection *longest = nullptr;
+        for (auto &[id, pool] : pools_)
+            for (auto &connection : pool.connections)
+                if (longest == nullptr || connection->incompleteReplyBytes > longest->incompleteReplyBytes)
+                    longest = connection.get();
+        longest->closeOnInvalidReply();
+    }
+    for (Connection *connection : std::exchange(unflushedConnections_, {})) connection->tcp->flush();
+}
+
+/// Runs periodically: closes connections that were idle for too long, lets the idle timeout grow again and
+/// removes workers that are gone and have no connections left.
+void WorkerConnections::cleanUp() {
+    const Timestamp now = context_.clock.now();
+    const Duration idleTimeout = idleTimeout_;
+    idleTimeout_ = std::min(context_.startDocument.settings.workerIdleTimeout / kIdleTimeoutDivisor,
+                            idleTimeout_ + idleTimeout_ / kIdleTimeoutGrowthDivisor);
+    context_.timers.schedule(now + kCleanupInterval, [this] { cleanUp(); });
+    for (auto &[id, pool] : pools_) {
+        if (idleTimeout <= Duration{}) break;
+        std::erase_if(pool.connections, [&](const auto &connection) {
+            return connection->isOpen && connection->inFlight.empty() &&
+                   now - connection->idleSince > idleTimeout;
+        });
+    }
+    std::erase_if(pools_,
+                  [](const auto &entry) { return entry.second.isGone && entry.second.connections.empty(); });
+}
+
+}  // namespace arrowstile
--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -411,20 +411,20 @@
 }
 
 TEST_CASE("alarms ring in order of time, and not once cleared") {
-    Alarms alarms;
+    TimerQueue alarms;
     std::string rung;
-    alarms.set(Timestamp{20}, [&] { rung += 'b'; });
-    alarms.set(Timestamp{10}, [&] { rung += 'a'; });
-    const auto never = alarms.set(Timestamp{15}, [&] { rung += 'x'; });
-    alarms.set(Timestamp{20}, [&] {
-        alarms.set(Timestamp{20}, [&] { rung += 'd'; });
+    alarms.schedule(Timestamp{20}, [&] { rung += 'b'; });
+    alarms.schedule(Timestamp{10}, [&] { rung += 'a'; });
+    const auto never = alarms.schedule(Timestamp{15}, [&] { rung += 'x'; });
+    alarms.schedule(Timestamp{20}, [&] {
+        alarms.schedule(Timestamp{20}, [&] { rung += 'd'; });
         rung += 'c';
     });
-    alarms.clear(never);
-    CHECK(alarms.next() == Timestamp{10});
-    alarms.run(Timestamp{10});
+    alarms.cancel(never);
+    CHECK(alarms.nextDue() == Timestamp{10});
+    alarms.runDue(Timestamp{10});
     CHECK(rung == "a");
-    alarms.run(Timestamp{30});
+    alarms.runDue(Timestamp{30});
     CHECK(rung == "abcd");
-    CHECK(!alarms.next());
+    CHECK(!alarms.nextDue());
 }
