--- a/src/net/client_connections.cpp
+++ b/src/net/client_connections.cpp
@@ -24,8 +24,8 @@
 constexpr Duration kCleanupInterval = milliseconds(250);
 /// How long a connection may go without a first valid command, and how long a command may stay incomplete.
 constexpr Duration kCommandTimeout = milliseconds(2000);
-/// How long a client has to fetch an error, or to close its side in a planned stop, before the connection is
-/// closed and whatever it still sends is lost.
+/// How long a client has to fetch a protocol error, or to close its side in a planned stop, before the
+/// connection is closed and whatever the client still sends is lost.
 constexpr Duration kCloseGracePeriod = milliseconds(300);
 
 /// Length of the first phase of a planned stop, in which no connection is closed for being idle. New
@@ -40,9 +40,9 @@
 constexpr Duration kStopPollInterval = milliseconds(20);
 
 // The process is killed 0.7 s after the longest client timeout at the earliest, where that timeout counts as
-// 3 s at most. The planned stop ends before that: kStopMargin after the timeout all calls that are still open
-// are answered, and kFinalAnswerPeriod later, in which clients can fetch those answers, all connections are
-// closed. Clients may be willing to wait longer than that.
+// 3 s at most, and the planned stop ends before that. Single clients may wait for longer, so calls can still
+// be open kStopMargin after the timeout. They are answered then, and their clients have kFinalAnswerPeriod to
+// fetch the answers before all connections are closed.
 constexpr Duration kMaxClientTimeout = milliseconds(3000);
 constexpr Duration kStopMargin = milliseconds(550);
 constexpr Duration kFinalAnswerPeriod = milliseconds(60);
@@ -235,9 +235,10 @@
 }
 
 /// Accepts a client. At the limit on connections that have not sent an API call, one of those is closed, so
-/// that a crowd of clients that send nothing, or only PING, never displaces clients that send calls. If all
-/// of those have unread input, the new client waits until it was read. At the limit on all connections, the
-/// one that has been idle longest is closed; if none is idle, the new client is turned away.
+/// that a crowd of clients that send nothing, or only PING, never displaces clients that send calls. If none
+/// of those can be closed, because they have input that was never read or await an answer, the new client
+/// waits. At the limit on all connections, the one that has been idle longest is closed; if none is idle, the
+/// new client is turned away.
 void ClientConnections::accept() {
     const Timestamp since = acceptDeferredSince_ ? *acceptDeferredSince_ : context_.lastReadAt;
     acceptDeferredSince_.reset();
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -27,8 +27,8 @@
     void setWatching(bool enabled);
     /// Requests the whole list.
     void fetchList();
-    /// To be called when discovery's address has changed. Requests the whole list, because versions of the
-    /// list at the old address may mean nothing at the new one.
+    /// To be called when discovery's address has changed. Gives up a request in flight and requests the whole
+    /// list, because versions of the list at the old address may mean nothing at the new one.
     void onAddressChange();
 
 private:
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -97,7 +97,8 @@
 }
 
 /// Reads the start document again and takes over its addresses of discovery, the counter and the peers.
-/// Requests in flight end on their present connections. A document that can't be used changes nothing.
+/// Requests in flight to the counter end on their present connections. A document that can't be used changes
+/// nothing.
 void Gateway::reload() {
     try {
         StartDocument fresh = readStartDocument_();
--- a/src/net/worker_connections.cpp
+++ b/src/net/worker_connections.cpp
@@ -10,7 +10,8 @@
 
 constexpr Duration kCleanupInterval = milliseconds(500);
 /// This gateway closes an idle connection after 1/2 of the time after which the worker's machine would. The
-/// machine may close it earlier than the settings say, and a try that crosses that close may have run.
+/// machine may close it earlier than the settings say, and of a try that crosses that close it is unknown
+/// whether it ran.
 constexpr int kIdleTimeoutDivisor = 2;
 /// Worker machines may also use a shorter timeout on some days. Once an earlier close is observed, the
 /// timeout is reduced to 1/2 of the shortest idle time seen; it then grows by 1/100 per cleanup up to the
@@ -232,7 +233,7 @@
 }
 
 /// Closes a connection and reports the end of all requests in flight on it: as `outcome` if the whole request
-/// was handed to the system, and otherwise as connectFailed, because then the worker can't have received it.
+/// was handed to the system, and otherwise as connectFailed, because then the worker can't have run it.
 /// Every connection with requests in flight is closed here.
 void WorkerConnections::closeConnection(Connection &connection, Outcome outcome) {
     auto &connections = pools_.at(connection.worker).connections;
