--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -455,22 +455,22 @@
     }
 }
 
-TEST_CASE("timers fire in order of time, and not after they are cleared") {
-    Alarms alarms;
+TEST_CASE("timers fire in order of time, and not after they are cancelled") {
+    TimerQueue timers;
     std::string fired;
-    alarms.set(Timestamp{20}, [&] { fired += 'b'; });
-    alarms.set(Timestamp{10}, [&] { fired += 'a'; });
-    const auto cleared = alarms.set(Timestamp{15}, [&] { fired += 'x'; });
-    // Sets a timer that is due at once, from within another timer's function.
-    alarms.set(Timestamp{20}, [&] {
-        alarms.set(Timestamp{20}, [&] { fired += 'd'; });
+    timers.schedule(Timestamp{20}, [&] { fired += 'b'; });
+    timers.schedule(Timestamp{10}, [&] { fired += 'a'; });
+    const auto cancelled = timers.schedule(Timestamp{15}, [&] { fired += 'x'; });
+    // Schedules a timer that is due at once, from within another timer's function.
+    timers.schedule(Timestamp{20}, [&] {
+        timers.schedule(Timestamp{20}, [&] { fired += 'd'; });
         fired += 'c';
     });
-    alarms.clear(cleared);
-    CHECK(alarms.next() == Timestamp{10});
-    alarms.run(Timestamp{10});
+    timers.cancel(cancelled);
+    CHECK(timers.nextDue() == Timestamp{10});
+    timers.runDue(Timestamp{10});
     CHECK(fired == "a");
-    alarms.run(Timestamp{30});
+    timers.runDue(Timestamp{30});
     CHECK(fired == "abcd");
-    CHECK(!alarms.next());
+    CHECK(!timers.nextDue());
 }
