--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// arrowstile-lab: simulates scenarios and prints reports.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -11,80 +13,86 @@
 
 using namespace arrowstile::lab;
 
-constexpr int kKept = 0, kBroken = 1, kBadUse = 2, kCouldNotRun = 3;
+/// Exit statuses.
+constexpr int kExitOk = 0;
+constexpr int kExitExpectationFailed = 1;  // a rule was broken, or a route or plan starved
+constexpr int kExitBadUsage = 2;           // wrong arguments, or a scenario that can't be used
+constexpr int kExitCouldNotRun = 3;        // for example a file that can't be read or written
 
-struct CouldNotRun : std::runtime_error {
+struct FileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-Scenario readFile(const std::string &path) {
+Scenario readScenarioFile(const std::string &path) {
     std::ifstream file(path);
-    if (!file) throw CouldNotRun("can't read '" + path + "'");
+    if (!file) throw FileError("can't read '" + path + "'");
     return readScenario(std::string(std::istreambuf_iterator<char>(file), {}), path);
 }
 
-void write(const std::string &path, const std::string &text) {
+void writeFile(const std::string &path, const std::string &text) {
     std::ofstream file(path, std::ios::trunc);
     file << text;
     file.close();
-    if (!file) throw CouldNotRun("can't write '" + path + "'");
+    if (!file) throw FileError("can't write '" + path + "'");
 }
 
 }  // namespace
 
 int main(int argc, char **argv) {
-    CLI::App app{"arrowstile's laboratory: plays scenarios against the gatekeeper's decisions"};
+    CLI::App app{"arrowstile's laboratory: simulates fleets of gateways with the real decision engine"};
     app.require_subcommand(1);
-    std::string path, other, csv;
+    std::string path, secondPath, csvPath;
     std::uint64_t seed = 1;
-    unsigned pairs = 10;
-    bool json = false;
+    unsigned seedCount = 10;
+    bool isJson = false;
 
-    auto *model = app.add_subcommand("model", "plays a scenario in virtual time and checks the rules");
-    model->add_option("scenario", path, "a scenario file (TOML)")->required();
-    model->add_option("--seed", seed, "of all chance; the same seed gives the same report")
+    auto *model = app.add_subcommand("model", "simulates a scenario in virtual time and checks the rules");
+    model->add_option("scenario", path, "scenario file (TOML)")->required();
+    model->add_option("--seed", seed, "seed of all random numbers; equal seeds give equal reports")
         ->capture_default_str();
-    model->add_flag("--json", json, "a report for programs");
-    model->add_option("--csv", csv, "also writes the service ratio by spans of the run to this file");
+    model->add_flag("--json", isJson, "print the report as JSON");
+    model->add_option("--csv", csvPath, "also write the service ratio by time interval to this file");
 
-    auto *compare = app.add_subcommand("compare", "plays two scenarios over paired seeds");
-    compare->add_option("first", path, "a scenario file")->required();
-    compare->add_option("second", other, "the one it is compared with")->required();
-    compare->add_option("--seed", seed, "the first of the seeds")->capture_default_str();
-    compare->add_option("--pairs", pairs, "how many seeds")
+    auto *compare = app.add_subcommand(
+        "compare", "compares the service ratios of two scenarios, each run with the same seeds");
+    compare->add_option("first", path, "scenario file of the baseline (TOML)")->required();
+    compare->add_option("second", secondPath, "scenario file to compare with the baseline")->required();
+    compare->add_option("--seed", seed, "first seed; the others follow it")->capture_default_str();
+    compare->add_option("--pairs", seedCount, "number of seeds; each gives one pair of runs")
         ->capture_default_str()
         ->check(CLI::Range(2, 1000));
-    compare->add_flag("--json", json, "a report for programs");
+    compare->add_flag("--json", isJson, "print the comparison as JSON");
 
-    auto *check = app.add_subcommand("check", "checks a scenario file and plays nothing");
-    check->add_option("scenario", path, "a scenario file")->required();
+    auto *check = app.add_subcommand("check", "checks a scenario file without running it");
+    check->add_option("scenario", path, "scenario file (TOML)")->required();
 
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError &error) {
-        return app.exit(error) == 0 ? kKept : kBadUse;
+        return app.exit(error) == 0 ? kExitOk : kExitBadUsage;
     }
     try {
         if (check->parsed()) {
-            std::cout << readFile(path).name << ": can be played\n";
-            return kKept;
+            std::cout << readScenarioFile(path).name << ": can be played\n";
+            return kExitOk;
         }
         if (compare->parsed()) {
-            const Scenario first = readFile(path), second = readFile(other);
-            const Difference difference = comparePairs(first, second, seed, pairs);
-            std::cout << (json ? difference.json() : difference.plain());
-            return difference.broken == 0 ? kKept : kBroken;
+            const Scenario first = readScenarioFile(path), second = readScenarioFile(secondPath);
+            const Difference difference = compareScenarios(first, second, seed, seedCount);
+            std::cout << (isJson ? difference.jsonText() : difference.plainText());
+            return difference.runsWithViolations == 0 ? kExitOk : kExitExpectationFailed;
         }
-        const Scenario scenario = readFile(path);
-        const Report report = play(scenario, seed);
-        std::cout << (json ? jsonReport(scenario, seed, report) : plainReport(scenario, seed, report));
-        if (!csv.empty()) write(csv, spansCsv(report));
-        return report.broken.empty() && report.starved.empty() ? kKept : kBroken;
+        const Scenario scenario = readScenarioFile(path);
+        const Report report = simulate(scenario, seed);
+        std::cout << (isJson ? jsonReport(scenario, seed, report) : plainReport(scenario, seed, report));
+        if (!csvPath.empty()) writeFile(csvPath, intervalsCsv(report));
+        return report.ruleViolations.empty() && report.starvedGroups.empty() ? kExitOk
+                                                                             : kExitExpectationFailed;
     } catch (const ScenarioError &error) {
         std::cerr << error.what() << "\n";
-        return kBadUse;
+        return kExitBadUsage;
     } catch (const std::exception &error) {
         std::cerr << "arrowstile-lab: " << error.what() << "\n";
-        return kCouldNotRun;
+        return kExitCouldNotRun;
     }
 }
--- a/src/lab/model/counter.cpp
+++ b/src/lab/model/counter.cpp
@@ -4,32 +4,34 @@
 
 namespace arrowstile::lab {
 
-void Counter::forget(Timestamp now) {
-    while (!ends_.empty() && ends_.begin()->first <= now) {
-        const auto found = numbers_.find(ends_.begin()->second);
-        if (found != numbers_.end() && found->second.until <= now) numbers_.erase(found);
-        ends_.erase(ends_.begin());
+void Counter::deleteExpired(Timestamp now) {
+    while (!expiries_.empty() && expiries_.begin()->first <= now) {
+        const auto found = counts_.find(expiries_.begin()->second);
+        // The count may have been deleted and created anew since, with a later expiry.
+        if (found != counts_.end() && found->second.expiresAt <= now) counts_.erase(found);
+        expiries_.erase(expiries_.begin());
     }
 }
 
-Counted Counter::add(Timestamp now, CountName name, double amount, Duration keep) {
-    ++calls_;
-    if (way_ == CounterWay::silent) return {};
-    const Duration each = fromMs(1000 * static_cast<double>(busyUntil_.size()) / spec_.perSecond * slower_);
-    Timestamp &busy = busyUntil_[name.value % busyUntil_.size()];
-    if (way_ == CounterWay::refuses || busy > now + each * spec_.waiting) {
-        ++turnedAway_;
+AddResult Counter::add(Timestamp now, CountName name, double amount, Duration lifetime) {
+    ++requestCount_;
+    if (mode_ == CounterMode::silent) return {};
+    const Duration serviceTime = fromMilliseconds(1000 * static_cast<double>(shardBusyUntil_.size()) /
+                                                  spec_.requestsPerSecond * slowdown_);
+    Timestamp &busyUntil = shardBusyUntil_[name.value % shardBusyUntil_.size()];
+    if (mode_ == CounterMode::refusing || busyUntil > now + serviceTime * spec_.maxQueueLength) {
+        ++rejectedCount_;
         return {false, true, 0, now};
     }
-    forget(now);
-    busy = std::max(busy, now) + each;
-    const auto [at, fresh] = numbers_.try_emplace(name);
-    if (fresh) {
-        at->second.until = now + std::min(keep, fromMs(60000));
-        ends_.emplace(at->second.until, name);
+    deleteExpired(now);
+    busyUntil = std::max(busyUntil, now) + serviceTime;
+    const auto [entry, isNew] = counts_.try_emplace(name);
+    if (isNew) {
+        entry->second.expiresAt = now + std::min(lifetime, fromMilliseconds(60000));
+        expiries_.emplace(entry->second.expiresAt, name);
     }
-    at->second.total += amount;
-    return {true, true, at->second.total, busy};
+    entry->second.total += amount;
+    return {true, true, entry->second.total, busyUntil};
 }
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/counter.hpp
+++ b/src/lab/model/counter.hpp
@@ -1,52 +1,69 @@
+/// \file
+/// Model of the counter, the shared counting service, in virtual time and without I/O.
 #pragma once
 
 #include <map>
 #include <optional>
 
-#include "agenda.hpp"
+#include "event_queue.hpp"
 
 namespace arrowstile::lab {
 
-enum class CounterWay : std::uint8_t { serves, refuses, silent };
+/// How the counter treats requests; the modes other than `serving` are injected faults.
+enum class CounterMode : std::uint8_t {
+    serving,
+    refusing,  ///< rejects every request at once, without effect
+    silent     ///< never replies, and adds nothing
+};
 
+/// Capacity of the counter.
 struct CounterSpec {
-    double perSecond = 1000;
-    unsigned waiting = 100;  ///< calls in line beyond which further ones are turned away
-    unsigned parts = 1;      ///< names are split over so many, each with an even part of the calls a second
+    double requestsPerSecond = 1000;  ///< over all shards
+    unsigned maxQueueLength = 100;    ///< requests that may wait per shard; further ones are rejected
+    unsigned shardCount = 1;          ///< counts are spread by name over shards of equal capacity
 };
 
-struct Counted {
-    bool added = false, answered = false;
-    double total = 0;
-    Timestamp at{};  ///< when the answer, or the refusal, leaves
+/// Result of one request to the counter.
+struct AddResult {
+    bool isAdded = false;
+    bool isAnswered = false;  ///< false: the counter never replies
+    double total = 0;         ///< the count after the addition; valid if isAdded
+    Timestamp repliedAt{};    ///< when the reply or the rejection leaves the counter; valid if isAnswered
 };
 
-/// The counter service without I/O: names, their life, its line and what may become of it.
+/// The counter: its counts and their expiry, its queue, and its injected faults.
 class Counter {
 public:
-    explicit Counter(const CounterSpec &spec) : spec_(spec), busyUntil_(std::max(1u, spec.parts)) {}
+    explicit Counter(const CounterSpec &spec) : spec_(spec), shardBusyUntil_(std::max(1u, spec.shardCount)) {}
 
-    Counted add(Timestamp now, CountName name, double amount, Duration keep);
-    void way(CounterWay way) { way_ = way; }
-    void slower(double times) { slower_ = times; }
-    void empty() { numbers_.clear(); }
-    std::uint64_t calls() const { return calls_; }
-    std::uint64_t turnedAway() const { return turnedAway_; }
+    /// Adds `amount` to a count and returns its total. A count that doesn't exist is created and expires
+    /// after `lifetime`, at most 60 s. Calls must be in order of time.
+    AddResult add(Timestamp now, CountName name, double amount, Duration lifetime);
+    void setMode(CounterMode mode) { mode_ = mode; }
+    /// Multiplies the service time of each request; 1 is normal.
+    void setSlowdown(double factor) { slowdown_ = factor; }
+    /// Deletes all counts, as a restart of the service would.
+    void deleteCounts() { counts_.clear(); }
+    /// Number of requests received, in every mode.
+    std::uint64_t requestCount() const { return requestCount_; }
+    /// Number of requests rejected.
+    std::uint64_t rejectedCount() const { return rejectedCount_; }
 
 private:
-    struct Number {
+    struct Count {
         double total = 0;
-        Timestamp until{};
+        Timestamp expiresAt{};
     };
-    void forget(Timestamp now);
+    void deleteExpired(Timestamp now);
 
     CounterSpec spec_;
-    CounterWay way_ = CounterWay::serves;
-    double slower_ = 1;
-    std::vector<Timestamp> busyUntil_;
-    std::map<CountName, Number> numbers_;
-    std::multimap<Timestamp, CountName> ends_;
-    std::uint64_t calls_ = 0, turnedAway_ = 0;
+    CounterMode mode_ = CounterMode::serving;
+    double slowdown_ = 1;
+    std::vector<Timestamp> shardBusyUntil_;  // by shard: when it has served all requests accepted so far
+    std::map<CountName, Count> counts_;
+    std::multimap<Timestamp, CountName> expiries_;
+    std::uint64_t requestCount_ = 0;
+    std::uint64_t rejectedCount_ = 0;
 };
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/fleet.cpp
+++ b/src/lab/model/fleet.cpp
@@ -9,643 +9,734 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kSpan = seconds(5);             // of the report
-constexpr Duration kCell = seconds(1);             // of what could be served
-constexpr double kTells = 50;                      // calls: fewer say nothing of a route or plan
-constexpr Duration kTail = seconds(6);             // after the last arrival: longer than any client waits
-constexpr Duration kNoticed = milliseconds(1500);  // clients go on coming to a dead gateway
-
+/// Length of the intervals of Report::intervals.
+constexpr Duration kReportInterval = seconds(5);
+/// Length of the intervals of GroupService.
+constexpr Duration kServiceInterval = seconds(1);
+/// Routes and plans with fewer achievable calls are too small to be checked for starvation.
+constexpr double kMinStarvationCalls = 50;
+/// How long a run goes on after the traffic has ended. Longer than the client timeouts of the shipped
+/// scenarios.
+constexpr Duration kSettleTime = seconds(6);
+/// Clients keep sending calls to a killed gateway. A client notices that its call has failed after this time.
+constexpr Duration kDeadGatewayTimeout = milliseconds(1500);
+
+/// A customer, with the bucket of its quota as the reference limiter keeps it.
 struct Customer {
     std::uint64_t id = 0;
-    unsigned plan = 0, first = 0;
-    double store = 0;  // of a limiter that sees everything
-    Timestamp filledAt{};
-    int open = 0;
+    unsigned plan = 0;
+    unsigned subsetStart = 0;
+    double level = 0;  // of the bucket, units
+    Timestamp refilledAt{};
+    int openTries = 0;
 };
 
-struct Wish {  // what a client wants, over all of its tries
-    Timestamp first{};
-    unsigned route = 0, tries = 0;
+/// What a client wants. It is sent as one call, and again as a new call for each of the client's retries.
+struct ClientRequest {
+    Timestamp startedAt{};
+    unsigned route = 0;
+    unsigned callCount = 0;
     std::size_t customer = 0;
-    double units = 1, worth = 1;
-    bool inside = false, served = false;
+    double units = 1;
+    double value = 1;  // billed value if it is served
+    bool isWithinQuota = false;
+    bool isProxied = false;  // one of its calls was, in time or late
 };
 
 struct Call {
-    std::shared_ptr<Wish> wish;
+    std::shared_ptr<ClientRequest> request;
     unsigned gateway = 0;
-    Timestamp sentAt{}, due{};
-    bool over = false, taken = false;
-    unsigned tries = 0;
-    std::uint64_t attempt = 0;  // the try that is out, 0: none
+    Timestamp sentAt{};
+    Timestamp deadline{};
+    bool isOver = false;
+    bool isReceived = false;
+    unsigned tryCount = 0;
+    std::uint64_t openTry = 0;  // id of the try that is out; 0: none
     std::size_t node = 0;
 };
 
 struct Gateway {
-    std::unique_ptr<DecisionEngine> keeper;
-    unsigned life = 0;
-    bool alive = false;
+    std::unique_ptr<DecisionEngine> engine;
+    unsigned incarnation = 0;  // changes when the gateway starts and when it is killed
+    bool isAlive = false;
 };
 
-struct Machine {
+/// A node and its entry in discovery's list.
+struct FleetNode {
     std::unique_ptr<Node> node;
     WorkerEntry entry;
-    std::uint64_t wake = 0;
+    std::uint64_t completionTimer = 0;  // number of the latest completion timer; earlier ones are void
 };
 
-class Run {
+/// One run of a scenario.
+class Simulation {
 public:
-    Run(const Scenario &scenario, std::uint64_t seed)
-        : s_(scenario), chance_(seed), counter_(scenario.counter) {}
-
-    Report play() {
-        build();
-        for (const Fault &fault : s_.faults) {
-            agenda_.at(start_ + fault.at, [this, fault] { begin(fault); });
-            agenda_.at(start_ + fault.at + fault.length, [this, fault] { finish(fault); });
+    Simulation(const Scenario &scenario, std::uint64_t seed)
+        : scenario_(scenario), random_(seed), counter_(scenario.counter) {}
+
+    Report run() {
+        setUp();
+        for (const Fault &fault : scenario_.faults) {
+            events_.schedule(start_ + fault.startsAt, [this, fault] { beginFault(fault); });
+            events_.schedule(start_ + fault.startsAt + fault.duration, [this, fault] { endFault(fault); });
         }
-        arrive();
-        for (std::size_t at = 0; at < report_.fared.front().asked.size(); ++at)
-            agenda_.at(start_ + kCell * (at + 1), [this, at] { weigh(at); });
-        agenda_.run(start_ + s_.length + kTail);
-        return report();
+        scheduleNextArrival();
+        for (std::size_t i = 0; i < report_.groups.front().requested.size(); ++i)
+            events_.schedule(start_ + kServiceInterval * (i + 1), [this, i] { computeAchievable(i); });
+        events_.runUntil(start_ + scenario_.duration + kSettleTime);
+        return finishReport();
     }
 
 private:
-    // ---- the world at its start ----
-
-    void build() {
-        for (unsigned i = 0; i < s_.nodes; ++i) addNode(Timestamp{});
-        gateways_.resize(s_.facts.gatewayCount);
-        for (unsigned rank = 0; rank < s_.facts.gatewayCount; ++rank) startGateway(rank);
-        for (unsigned plan = 0; plan < s_.plans.size(); ++plan) {
-            byPlan_.emplace_back();
-            for (unsigned i = 0; i < s_.plans[plan].customers; ++i) {
-                byPlan_[plan].push_back(customers_.size());
-                customers_.push_back({customers_.size() + 1, plan,
-                                      static_cast<unsigned>(chance_.below(s_.facts.gatewayCount)),
-                                      s_.facts.plans[plan].burst, start_, 0});
+    // ---- Initial state ----
+
+    void setUp() {
+        for (unsigned i = 0; i < scenario_.nodeCount; ++i) addNode(Timestamp{});
+        gateways_.resize(scenario_.settings.gatewayCount);
+        for (unsigned gateway = 0; gateway < scenario_.settings.gatewayCount; ++gateway)
+            startGateway(gateway);
+        for (unsigned plan = 0; plan < scenario_.plans.size(); ++plan) {
+            customersByPlan_.emplace_back();
+            for (unsigned i = 0; i < scenario_.plans[plan].customerCount; ++i) {
+                customersByPlan_[plan].push_back(customers_.size());
+                customers_.push_back(
+                    {customers_.size() + 1, plan,
+                     static_cast<unsigned>(random_.drawIndex(scenario_.settings.gatewayCount)),
+                     scenario_.settings.plans[plan].burst, start_, 0});
             }
-            report_.plans.push_back({s_.plans[plan].name, 0, 0});
+            report_.plans.push_back({scenario_.plans[plan].name, 0, 0});
         }
-        for (const RouteTraffic &route : s_.routes) report_.routes.push_back({route.name, 0, 0});
-        const auto cells = static_cast<std::size_t>((s_.length + kCell - Duration{1}) / kCell);
-        const std::vector<double> none(cells, 0);
-        for (const RouteTraffic &route : s_.routes)
-            report_.fared.push_back({"route " + route.name, none, none, none});
-        for (const PlanTraffic &plan : s_.plans)
-            report_.fared.push_back({"plan " + plan.name, none, none, none});
-        workAsked_ = none;
-        for (Timestamp at{}; at < s_.length; at += kSpan)
-            report_.spans.push_back({std::to_string(at / seconds(1)) + " s", 0, 0});
-    }
-
-    /// A policy that sees everything would serve all groups alike what the nodes can do.
-    void weigh(std::size_t cell) {
-        double able = 0;
-        for (const Machine &machine : nodes_) able += machine.node->able(agenda_.now()) * inMs(kCell);
-        const double part = workAsked_[cell] > able ? able / workAsked_[cell] : 1;
-        for (Fared &group : report_.fared) group.could[cell] = part * group.asked[cell];
-    }
-
-    /// A call within quotas that was asked, or served in time, in its route's and its plan's count.
-    void count(const Wish &wish, std::vector<double> Fared::*what) {
-        const auto cell =
-            std::min(workAsked_.size() - 1, static_cast<std::size_t>((wish.first - start_) / kCell));
-        (report_.fared[wish.route].*what)[cell] += 1;
-        (report_.fared[s_.routes.size() + customers_[wish.customer].plan].*what)[cell] += 1;
-        if (what == &Fared::asked) workAsked_[cell] += s_.routes[wish.route].workMs;
-    }
-
+        for (const RouteTraffic &route : scenario_.routes) report_.routes.push_back({route.name, 0, 0});
+        const auto intervalCount = static_cast<std::size_t>(
+            (scenario_.duration + kServiceInterval - Duration{1}) / kServiceInterval);
+        const std::vector<double> zeros(intervalCount, 0);
+        for (const RouteTraffic &route : scenario_.routes)
+            report_.groups.push_back({"route " + route.name, zeros, zeros, zeros});
+        for (const PlanTraffic &plan : scenario_.plans)
+            report_.groups.push_back({"plan " + plan.name, zeros, zeros, zeros});
+        requestedWorkMs_ = zeros;
+        for (Timestamp at{}; at < scenario_.duration; at += kReportInterval)
+            report_.intervals.push_back({std::to_string(at / seconds(1)) + " s", 0, 0});
+    }
+
+    /// Computes what an ideal policy would have served in an interval that has just ended: if more work was
+    /// requested than the nodes can do now, the same fraction of each group's calls. The fraction is that of
+    /// the work which the nodes can do.
+    void computeAchievable(std::size_t interval) {
+        double availableMs = 0;
+        for (const FleetNode &one : nodes_)
+            availableMs += one.node->availableCapacity(events_.now()) * toMilliseconds(kServiceInterval);
+        const double fraction =
+            requestedWorkMs_[interval] > availableMs ? availableMs / requestedWorkMs_[interval] : 1;
+        for (GroupService &group : report_.groups)
+            group.achievable[interval] = fraction * group.requested[interval];
+    }
+
+    /// Adds a request within its quota to `series` (requested or served) of its route and its plan.
+    void addToGroups(const ClientRequest &request, std::vector<double> GroupService::*series) {
+        const auto interval =
+            std::min(requestedWorkMs_.size() - 1,
+                     static_cast<std::size_t>((request.startedAt - start_) / kServiceInterval));
+        (report_.groups[request.route].*series)[interval] += 1;
+        (report_.groups[scenario_.routes.size() + customers_[request.customer].plan].*series)[interval] += 1;
+        if (series == &GroupService::requested)
+            requestedWorkMs_[interval] += scenario_.routes[request.route].meanWorkMs;
+    }
+
+    /// Adds a node that starts at the given time; at time 0: one that is warm already. Returns its index.
     std::size_t addNode(Timestamp startedAt) {
         const auto number = static_cast<std::uint32_t>(nodes_.size() + 1);
-        Machine made;
-        made.node = std::make_unique<Node>(
-            s_.node, startedAt == Timestamp{} ? Timestamp{-s_.node.warmUp} : startedAt, chance_.number());
-        made.entry = {WorkerId{number},
-                      s_.facts.zone,
-                      {},
-                      WorkerGroupId{static_cast<std::uint16_t>(number)},
-                      WorkerState::ready,
-                      1,
-                      startedAt};
-        nodes_.push_back(std::move(made));
+        FleetNode added;
+        added.node = std::make_unique<Node>(
+            scenario_.node, startedAt == Timestamp{} ? Timestamp{-scenario_.node.warmUp} : startedAt,
+            random_.drawSeed());
+        added.entry = {WorkerId{number},
+                       scenario_.settings.zone,
+                       {},
+                       WorkerGroupId{static_cast<std::uint16_t>(number)},
+                       WorkerState::ready,
+                       1,
+                       startedAt};
+        nodes_.push_back(std::move(added));
         return nodes_.size() - 1;
     }
 
-    WorkerListUpdated wholeList(WorkerListKind how) const {
-        WorkerListUpdated list{how, 1, {}};
-        for (const Machine &one : nodes_)
+    WorkerListUpdated currentWorkerList(WorkerListKind kind) const {
+        WorkerListUpdated list{kind, 1, {}};
+        for (const FleetNode &one : nodes_)
             if (one.entry.state != WorkerState::gone) list.workers.push_back(one.entry);
         return list;
     }
 
-    void startGateway(unsigned rank) {
-        Gateway &gateway = gateways_[rank];
-        EngineSettings facts = s_.facts;
-        facts.gatewayIndex.value = rank;
-        gateway.keeper = std::make_unique<DecisionEngine>(facts, chance_.number());
-        ++gateway.life;
-        gateway.alive = true;
-        tell(rank, wholeList(WorkerListKind::snapshot));
+    void startGateway(unsigned index) {
+        Gateway &gateway = gateways_[index];
+        EngineSettings settings = scenario_.settings;
+        settings.gatewayIndex.value = index;
+        gateway.engine = std::make_unique<DecisionEngine>(settings, random_.drawSeed());
+        ++gateway.incarnation;
+        gateway.isAlive = true;
+        deliver(index, currentWorkerList(WorkerListKind::snapshot));
     }
 
-    // ---- gateways ----
+    // ---- Gateways: events for their engines, and the engines' actions ----
 
-    void tell(unsigned rank, const Event &event) {
-        if (!gateways_[rank].alive) return;
-        for (const Action &action : gateways_[rank].keeper->handle(agenda_.now(), event))
-            std::visit([&](const auto &what) { carry(rank, what); }, action);
+    void deliver(unsigned gateway, const Event &event) {
+        if (!gateways_[gateway].isAlive) return;
+        for (const Action &action : gateways_[gateway].engine->handle(events_.now(), event))
+            std::visit([&](const auto &what) { perform(gateway, what); }, action);
     }
 
-    /// Events on their way to a gateway are lost with its life.
-    void later(unsigned rank, Duration after, Event event) {
-        agenda_.at(agenda_.now() + after,
-                   [this, rank, life = gateways_[rank].life, event = std::move(event)] {
-                       if (gateways_[rank].life == life) tell(rank, event);
-                   });
-    }
-
-    void carry(unsigned rank, const SetTimer &what) {
-        agenda_.at(what.due, [this, rank, life = gateways_[rank].life, token = what.token] {
-            if (gateways_[rank].life == life) tell(rank, TimerFired{token});
+    /// Delivers an event after a delay. If the gateway is killed meanwhile, the event is lost.
+    void deliverAfter(unsigned gateway, Duration delay, Event event) {
+        events_.schedule(events_.now() + delay, [this, gateway, incarnation = gateways_[gateway].incarnation,
+                                                 event = std::move(event)] {
+            if (gateways_[gateway].incarnation == incarnation) deliver(gateway, event);
         });
     }
 
-    void carry(unsigned rank, const AddToCount &what) {
-        const unsigned life = gateways_[rank].life;
-        const Timestamp sent = agenda_.now();
-        const Duration wait = std::max(what.timeout, s_.facts.counterTimeout);
-        agenda_.at(sent + s_.oneWay, [this, rank, life, what, sent, wait] {
-            const Counted done = counter_.add(agenda_.now(), what.name, what.amount, what.lifetime);
-            const bool inTime = done.answered && done.at + s_.oneWay <= sent + wait;
-            const Timestamp heard = inTime ? done.at + s_.oneWay : sent + wait;
-            const Outcome outcome = !inTime      ? Outcome::timedOut
-                                    : done.added ? Outcome::answered
-                                                 : Outcome::overloaded;
-            agenda_.at(heard, [this, rank, life, what, outcome, total = done.total, took = heard - sent] {
-                if (gateways_[rank].life == life)
-                    tell(rank, AddToCountEnded{what.name, outcome, total, took});
+    void perform(unsigned gateway, const SetTimer &action) {
+        events_.schedule(action.due,
+                         [this, gateway, incarnation = gateways_[gateway].incarnation, token = action.token] {
+                             if (gateways_[gateway].incarnation == incarnation)
+                                 deliver(gateway, TimerFired{token});
+                         });
+    }
+
+    void perform(unsigned gateway, const AddToCount &action) {
+        const unsigned incarnation = gateways_[gateway].incarnation;
+        const Timestamp sentAt = events_.now();
+        const Duration timeout = std::max(action.timeout, scenario_.settings.counterTimeout);
+        events_.schedule(sentAt + scenario_.oneWayLatency, [this, gateway, incarnation, action, sentAt,
+                                                            timeout] {
+            const AddResult result = counter_.add(events_.now(), action.name, action.amount, action.lifetime);
+            const bool isInTime =
+                result.isAnswered && result.repliedAt + scenario_.oneWayLatency <= sentAt + timeout;
+            const Timestamp endedAt =
+                isInTime ? result.repliedAt + scenario_.oneWayLatency : sentAt + timeout;
+            const Outcome outcome = !isInTime        ? Outcome::timedOut
+                                    : result.isAdded ? Outcome::answered
+                                                     : Outcome::overloaded;
+            events_.schedule(endedAt, [this, gateway, incarnation, action, outcome, total = result.total,
+                                       latency = endedAt - sentAt] {
+                if (gateways_[gateway].incarnation == incarnation)
+                    deliver(gateway, AddToCountEnded{action.name, outcome, total, latency});
             });
         });
     }
 
-    void carry(unsigned, const AnswerRateLimited &what) { answer(what.call, false, true, what.retryAfter); }
-    void carry(unsigned, const AnswerErrored &what) { answer(what.call, false, false, {}); }
-    void carry(unsigned, const auto &) {}
+    void perform(unsigned, const AnswerRateLimited &action) {
+        answerCall(action.call, false, true, action.retryAfter);
+    }
+    void perform(unsigned, const AnswerErrored &action) { answerCall(action.call, false, false, {}); }
+    /// Actions without a counterpart in the simulation have no effect.
+    void perform(unsigned, const auto &) {}
 
-    void carry(unsigned rank, const SendTry &what) {
-        Call &call = calls_.at(what.call.value);
-        const std::uint64_t attempt = ++lastAttempt_;
-        const TryNumber number{static_cast<std::uint8_t>(call.tries++)};
-        call.attempt = attempt;
-        call.node = what.worker.value - 1;
+    void perform(unsigned gateway, const SendTry &action) {
+        Call &call = calls_.at(action.call.value);
+        const std::uint64_t tryId = ++lastTryId_;
+        const TryNumber number{static_cast<std::uint8_t>(call.tryCount++)};
+        call.openTry = tryId;
+        call.node = action.worker.value - 1;
         ++report_.triesSent;
-        note(Step::sent, rank, what.call.value, what.worker.value);
-        attempts_[attempt] = {what.call.value, rank,          number,
-                              what.worker,     agenda_.now(), gateways_[rank].life};
-        Wish &wish = *call.wish;
-        if (number.value == 0) spend(wish);
-        const RouteTraffic &route = s_.routes[wish.route];
-        const Route &facts = s_.facts.routes[wish.route];
-        const Job job{JobId{attempt}, what.call.value, chance_.exponential(route.workMs),
-                      facts.effect == Effect::tokened, facts.dedupWindow};
-        ++customers_[wish.customer].open;
-        Timestamp comesUp{};
-        if (connectsLate_ > 0 && call.node < lateNodes_) comesUp = fromMs(chance_.part() * connectsLate_);
-        if (comesUp > s_.facts.connectTimeout)
-            agenda_.at(agenda_.now() + s_.facts.connectTimeout,
-                       [this, attempt] { tryOver(attempt, Outcome::connectFailed, {}); });
+        record(TraceEventKind::trySent, gateway, action.call.value, action.worker.value);
+        openTries_[tryId] = {action.call.value, gateway,       number,
+                             action.worker,     events_.now(), gateways_[gateway].incarnation};
+        ClientRequest &request = *call.request;
+        if (number.value == 0) takeFromQuota(request);
+        const RouteTraffic &traffic = scenario_.routes[request.route];
+        const Route &route = scenario_.settings.routes[request.route];
+        const Job job{JobId{tryId}, action.call.value, random_.drawExponential(traffic.meanWorkMs),
+                      route.effect == Effect::tokened, route.dedupWindow};
+        ++customers_[request.customer].openTries;
+        Duration connectDelay{};
+        if (maxConnectDelayMs_ > 0 && call.node < slowConnectNodeCount_)
+            connectDelay = fromMilliseconds(random_.drawUniform() * maxConnectDelayMs_);
+        if (connectDelay > scenario_.settings.connectTimeout)
+            events_.schedule(events_.now() + scenario_.settings.connectTimeout,
+                             [this, tryId] { endTry(tryId, Outcome::connectFailed, {}); });
         else
-            agenda_.at(agenda_.now() + comesUp + s_.oneWay,
-                       [this, at = call.node, job] { arriveAt(at, job); });
-        agenda_.at(std::max(what.deadline, agenda_.now()), [this, attempt, at = call.node] {
-            if (attempts_.contains(attempt)) nodes_[at].node->callOff(JobId{attempt});
-            tryOver(attempt, Outcome::timedOut, {});
+            events_.schedule(events_.now() + connectDelay + scenario_.oneWayLatency,
+                             [this, node = call.node, job] { arriveAtNode(node, job); });
+        events_.schedule(std::max(action.deadline, events_.now()), [this, tryId, node = call.node] {
+            if (openTries_.contains(tryId)) nodes_[node].node->cancel(JobId{tryId});
+            endTry(tryId, Outcome::timedOut, {});
         });
     }
 
-    void carry(unsigned, const CancelTry &what) {
-        const auto call = calls_.find(what.call.value);
-        if (call == calls_.end() || call->second.attempt == 0) return;
-        const std::uint64_t attempt = call->second.attempt;
-        nodes_[call->second.node].node->callOff(JobId{attempt});
-        agenda_.at(agenda_.now(), [this, attempt] { tryOver(attempt, Outcome::cancelled, {}); });
-    }
-
-    /// The one outcome of a try; whatever comes of it later is dropped.
-    void tryOver(std::uint64_t attempt, Outcome outcome, std::optional<unsigned> queue) {
-        const auto found = attempts_.find(attempt);
-        if (found == attempts_.end()) return;
-        const Attempt one = found->second;
-        attempts_.erase(found);
-        Call &call = calls_.at(one.call);
-        call.attempt = 0;
-        --customers_[call.wish->customer].open;
-        note(Step::tryEnded, one.gateway, one.call, one.worker.value);
-        if (call.gateway != one.gateway || gateways_[one.gateway].life != one.life) return;
-        const bool good = outcome == Outcome::answered;
-        TryEnded event{CallId{one.call},  one.number, one.worker, outcome, agenda_.now() - one.sentAt,
-                       good || call.over, {},         {},         {}};
-        if (queue) event.load = {static_cast<double>(*queue)};
-        if (good && !call.over) answer(CallId{one.call}, true, false, {});
-        tell(one.gateway, event);
-    }
-
-    // ---- nodes ----
-
-    void arriveAt(std::size_t at, const Job &job) {
-        Machine &machine = nodes_[at];
-        const auto attempt = attempts_.find(job.id.value);
-        if (attempt == attempts_.end()) return;  // given up on its way
-        if (!machine.node->alive()) return back(job.id, Outcome::connectFailed, {});
-        if (machine.node->isSilent()) return;
-        const auto turned = machine.node->offer(agenda_.now(), job);
-        report_.worstPush = std::max(report_.worstPush, machine.node->worstPush());
-        if (turned) return back(job.id, Outcome::overloaded, turned->queue);
-        if (!machine.node->alive()) return lost(at);
-        wake(at);
-    }
-
-    void back(JobId id, Outcome outcome, std::optional<unsigned> queue) {
-        agenda_.at(agenda_.now() + s_.oneWay,
-                   [this, id, outcome, queue] { tryOver(id.value, outcome, queue); });
-    }
-
-    void wake(std::size_t at) {
-        const auto next = nodes_[at].node->next();
-        const std::uint64_t turn = ++nodes_[at].wake;
+    void perform(unsigned, const CancelTry &action) {
+        const auto call = calls_.find(action.call.value);
+        if (call == calls_.end() || call->second.openTry == 0) return;
+        const std::uint64_t tryId = call->second.openTry;
+        nodes_[call->second.node].node->cancel(JobId{tryId});
+        events_.schedule(events_.now(), [this, tryId] { endTry(tryId, Outcome::cancelled, {}); });
+    }
+
+    /// Ends a try with its one outcome; later outcomes of the same try are ignored. `queueLength` is the load
+    /// report, if there is one.
+    void endTry(std::uint64_t tryId, Outcome outcome, std::optional<unsigned> queueLength) {
+        const auto found = openTries_.find(tryId);
+        if (found == openTries_.end()) return;
+        const UpstreamTry ended = found->second;
+        openTries_.erase(found);
+        Call &call = calls_.at(ended.call);
+        call.openTry = 0;
+        --customers_[call.request->customer].openTries;
+        record(TraceEventKind::tryEnded, ended.gateway, ended.call, ended.worker.value);
+        if (call.gateway != ended.gateway || gateways_[ended.gateway].incarnation != ended.incarnation)
+            return;
+        const bool isAnswered = outcome == Outcome::answered;
+        TryEnded event{
+            CallId{ended.call},        ended.number, ended.worker, outcome, events_.now() - ended.sentAt,
+            isAnswered || call.isOver, {},           {},           {}};
+        if (queueLength) event.load = {static_cast<double>(*queueLength)};
+        if (isAnswered && !call.isOver) answerCall(CallId{ended.call}, true, false, {});
+        deliver(ended.gateway, event);
+    }
+
+    // ---- Nodes, each referred to by its index in nodes_ ----
+
+    void arriveAtNode(std::size_t index, const Job &job) {
+        FleetNode &target = nodes_[index];
+        const auto found = openTries_.find(job.id.value);
+        if (found == openTries_.end()) return;  // timed out or cancelled on its way to the node
+        if (!target.node->isAlive()) return scheduleTryEnd(job.id, Outcome::connectFailed, {});
+        if (target.node->isSilent()) return;
+        const auto rejected = target.node->submit(events_.now(), job);
+        report_.maxColdLoadFraction =
+            std::max(report_.maxColdLoadFraction, target.node->maxColdLoadFraction());
+        if (rejected) return scheduleTryEnd(job.id, Outcome::overloaded, rejected->queueLength);
+        if (!target.node->isAlive()) return loseNode(index);  // the job has overloaded the cold node
+        scheduleCompletion(index);
+    }
+
+    /// Ends a try when news of its outcome has travelled from the node to the gateway.
+    void scheduleTryEnd(JobId id, Outcome outcome, std::optional<unsigned> queueLength) {
+        events_.schedule(events_.now() + scenario_.oneWayLatency,
+                         [this, id, outcome, queueLength] { endTry(id.value, outcome, queueLength); });
+    }
+
+    /// Schedules the collection of the node's next completed job, in place of an earlier schedule.
+    void scheduleCompletion(std::size_t index) {
+        const auto next = nodes_[index].node->nextCompletion();
+        const std::uint64_t timer = ++nodes_[index].completionTimer;
         if (!next) return;
-        agenda_.at(std::max(*next, agenda_.now()), [this, at, turn] {
-            Machine &machine = nodes_[at];
-            if (machine.wake != turn) return;
-            for (const Ended &done : machine.node->ended(agenda_.now())) {
-                const auto found = attempts_.find(done.id.value);
-                if (done.ran)
-                    note(Step::ran, 0, found != attempts_.end() ? found->second.call : callOf_[done.id.value],
-                         machine.entry.worker.value);
-                const bool good = done.fate == Fate::answered && chance_.part() >= spoilt_;
-                const Outcome outcome = good ? Outcome::answered : Outcome::errored;
-                if (!machine.node->isSilent()) back(done.id, outcome, done.queue);
+        events_.schedule(std::max(*next, events_.now()), [this, index, timer] {
+            FleetNode &fleetNode = nodes_[index];
+            if (fleetNode.completionTimer != timer) return;
+            for (const JobResult &result : fleetNode.node->takeCompleted(events_.now())) {
+                const auto found = openTries_.find(result.id.value);
+                if (result.hasRun)
+                    record(TraceEventKind::callRun, 0,
+                           found != openTries_.end() ? found->second.call : callByTry_[result.id.value],
+                           fleetNode.entry.worker.value);
+                const bool isAnswered =
+                    result.outcome == JobOutcome::answered && random_.drawUniform() >= spoiltFraction_;
+                const Outcome outcome = isAnswered ? Outcome::answered : Outcome::errored;
+                if (!fleetNode.node->isSilent()) scheduleTryEnd(result.id, outcome, result.queueLength);
             }
-            wake(at);
+            scheduleCompletion(index);
         });
     }
 
-    /// What was out there breaks off; connections tell so at once.
-    void lost(std::size_t at) {
-        std::vector<std::uint64_t> out;
-        for (const auto &[attempt, one] : attempts_)
-            if (one.worker.value == at + 1) out.push_back(attempt);
-        for (const std::uint64_t attempt : out) back(JobId{attempt}, Outcome::reset, {});
-        gone(at);
-    }
-
-    void gone(std::size_t at) { change(at, WorkerState::gone); }
-
-    void change(std::size_t at, WorkerState state) {
-        nodes_[at].entry.state = state;
-        const WorkerListUpdated news{WorkerListKind::delta, 1, {nodes_[at].entry}};
-        const unsigned late = lateGateways_;
-        const auto hear = [this, news, at, state](unsigned from, unsigned to) {
-            for (unsigned rank = from; rank < to; ++rank) {
-                if (!gateways_[rank].alive) continue;
-                if (state != WorkerState::ready) note(Step::told, rank, 0, at + 1);
-                tell(rank, news);
+    /// Ends all open tries of a node that has crashed or stopped: their connections are reset. Discovery
+    /// announces that the node is gone.
+    void loseNode(std::size_t index) {
+        std::vector<std::uint64_t> lostTries;
+        for (const auto &[tryId, open] : openTries_)
+            if (open.worker.value == index + 1) lostTries.push_back(tryId);
+        for (const std::uint64_t tryId : lostTries) scheduleTryEnd(JobId{tryId}, Outcome::reset, {});
+        announceGone(index);
+    }
+
+    void announceGone(std::size_t index) { announceState(index, WorkerState::gone); }
+
+    /// Changes a node's state in discovery, and tells the gateways after the delay of the list.
+    void announceState(std::size_t index, WorkerState state) {
+        nodes_[index].entry.state = state;
+        const WorkerListUpdated update{WorkerListKind::delta, 1, {nodes_[index].entry}};
+        const unsigned lateCount = lateListGatewayCount_;
+        const auto tellGateways = [this, update, index, state](unsigned begin, unsigned end) {
+            for (unsigned gateway = begin; gateway < end; ++gateway) {
+                if (!gateways_[gateway].isAlive) continue;
+                if (state != WorkerState::ready) record(TraceEventKind::nodeNotReady, gateway, 0, index + 1);
+                deliver(gateway, update);
             }
         };
-        if (late > 0)
-            agenda_.at(agenda_.now() + s_.listLate + fromMs(listsLate_), [hear, late] { hear(0, late); });
-        agenda_.at(agenda_.now() + s_.listLate,
-                   [this, hear, late] { hear(late, static_cast<unsigned>(gateways_.size())); });
+        if (lateCount > 0)
+            events_.schedule(events_.now() + scenario_.listDelay + fromMilliseconds(extraListDelayMs_),
+                             [tellGateways, lateCount] { tellGateways(0, lateCount); });
+        events_.schedule(events_.now() + scenario_.listDelay, [this, tellGateways, lateCount] {
+            tellGateways(lateCount, static_cast<unsigned>(gateways_.size()));
+        });
     }
 
-    // ---- faults ----
+    // ---- Faults: a fault of some nodes or gateways concerns the first ones ----
 
-    template <class Act>
-    void some(double part, std::size_t count, Act act) {
-        for (std::size_t i = 0; i < partOf(part, count); ++i) act(i);
+    /// Calls `function` with each index below the given fraction of `count`.
+    template <class Function>
+    void forFirst(double fraction, std::size_t count, Function function) {
+        for (std::size_t i = 0; i < roundedPart(fraction, count); ++i) function(i);
     }
-    static std::size_t partOf(double part, std::size_t count) {
-        return static_cast<std::size_t>(part * static_cast<double>(count) + 0.5);
+    static std::size_t roundedPart(double fraction, std::size_t count) {
+        return static_cast<std::size_t>(fraction * static_cast<double>(count) + 0.5);
     }
 
-    void begin(const Fault &fault) {
-        const std::size_t first = s_.nodes;  // those there at the start
+    void beginFault(const Fault &fault) {
+        const std::size_t initialNodes = scenario_.nodeCount;  // nodes that start later are spared
         switch (fault.kind) {
-            case FaultKind::counterRefuses: counter_.way(CounterWay::refuses); break;
-            case FaultKind::counterSilent: counter_.way(CounterWay::silent); break;
-            case FaultKind::counterSlow: counter_.slower(fault.size); break;
-            case FaultKind::counterEmpty: counter_.empty(); break;
+            case FaultKind::counterRefuses: counter_.setMode(CounterMode::refusing); break;
+            case FaultKind::counterSilent: counter_.setMode(CounterMode::silent); break;
+            case FaultKind::counterSlow: counter_.setSlowdown(fault.magnitude); break;
+            case FaultKind::counterEmpty: counter_.deleteCounts(); break;
             case FaultKind::nodesCrash:
-                some(fault.part, first, [this](std::size_t i) {
-                    nodes_[i].node->die();
-                    lost(i);
+                forFirst(fault.fraction, initialNodes, [this](std::size_t i) {
+                    nodes_[i].node->crash();
+                    loseNode(i);
                 });
                 break;
             case FaultKind::nodesSilent:
-                some(fault.part, first, [this](std::size_t i) { nodes_[i].node->silent(true); });
+                forFirst(fault.fraction, initialNodes,
+                         [this](std::size_t i) { nodes_[i].node->setSilent(true); });
                 break;
             case FaultKind::nodesSlow:
-                some(fault.part, first, [&](std::size_t i) { nodes_[i].node->slower(fault.size); });
+                forFirst(fault.fraction, initialNodes,
+                         [&](std::size_t i) { nodes_[i].node->setSlowdown(fault.magnitude); });
                 break;
             case FaultKind::nodesFail:
-                some(fault.part, first, [&](std::size_t i) { nodes_[i].node->failing(fault.size); });
+                forFirst(fault.fraction, initialNodes,
+                         [&](std::size_t i) { nodes_[i].node->setFailureFraction(fault.magnitude); });
                 break;
             case FaultKind::nodesReplaced:
-                some(fault.part, first, [&](std::size_t i) {
-                    agenda_.at(agenda_.now() + fault.length * static_cast<std::int64_t>(i) /
-                                                   std::max<std::int64_t>(
-                                                       1, static_cast<std::int64_t>(fault.part * s_.nodes)),
-                               [this, i] { replace(i); });
+                forFirst(fault.fraction, initialNodes, [&](std::size_t i) {
+                    events_.schedule(events_.now() + fault.duration * static_cast<std::int64_t>(i) /
+                                                         std::max<std::int64_t>(
+                                                             1, static_cast<std::int64_t>(
+                                                                    fault.fraction * scenario_.nodeCount)),
+                                     [this, i] { replaceNode(i); });
                 });
                 break;
             case FaultKind::gatewaysKilled:
-                some(fault.part, gateways_.size(), [this](std::size_t i) { kill(static_cast<unsigned>(i)); });
+                forFirst(fault.fraction, gateways_.size(),
+                         [this](std::size_t i) { killGateway(static_cast<unsigned>(i)); });
                 break;
             case FaultKind::listsLate:
-                lateGateways_ = static_cast<unsigned>(partOf(fault.part, gateways_.size()));
-                listsLate_ = fault.size;
+                lateListGatewayCount_ = static_cast<unsigned>(roundedPart(fault.fraction, gateways_.size()));
+                extraListDelayMs_ = fault.magnitude;
                 break;
             case FaultKind::connectsLate:
-                lateNodes_ = partOf(fault.part, nodes_.size());
-                connectsLate_ = fault.size;
+                slowConnectNodeCount_ = roundedPart(fault.fraction, nodes_.size());
+                maxConnectDelayMs_ = fault.magnitude;
                 break;
-            case FaultKind::answersSpoilt: spoilt_ = fault.size; break;
-            case FaultKind::trafficJump: jump_ = fault.size; break;
+            case FaultKind::answersSpoilt: spoiltFraction_ = fault.magnitude; break;
+            case FaultKind::trafficJump: trafficFactor_ = fault.magnitude; break;
         }
     }
 
-    void finish(const Fault &fault) {
+    void endFault(const Fault &fault) {
         switch (fault.kind) {
             case FaultKind::counterRefuses:
-            case FaultKind::counterSilent: counter_.way(CounterWay::serves); break;
-            case FaultKind::counterSlow: counter_.slower(1); break;
+            case FaultKind::counterSilent: counter_.setMode(CounterMode::serving); break;
+            case FaultKind::counterSlow: counter_.setSlowdown(1); break;
             case FaultKind::nodesCrash:
-                some(fault.part, s_.nodes, [this](std::size_t) { come(addNode(agenda_.now())); });
+                forFirst(fault.fraction, scenario_.nodeCount,
+                         [this](std::size_t) { announceReady(addNode(events_.now())); });
                 break;
             case FaultKind::nodesSilent:
-                some(fault.part, s_.nodes, [this](std::size_t i) { nodes_[i].node->silent(false); });
+                forFirst(fault.fraction, scenario_.nodeCount,
+                         [this](std::size_t i) { nodes_[i].node->setSilent(false); });
                 break;
             case FaultKind::nodesSlow:
-                some(fault.part, s_.nodes, [this](std::size_t i) { nodes_[i].node->slower(1); });
+                forFirst(fault.fraction, scenario_.nodeCount,
+                         [this](std::size_t i) { nodes_[i].node->setSlowdown(1); });
                 break;
             case FaultKind::nodesFail:
-                some(fault.part, s_.nodes, [this](std::size_t i) { nodes_[i].node->failing(0); });
+                forFirst(fault.fraction, scenario_.nodeCount,
+                         [this](std::size_t i) { nodes_[i].node->setFailureFraction(0); });
                 break;
             case FaultKind::gatewaysKilled:
-                some(fault.part, gateways_.size(),
-                     [this](std::size_t i) { startGateway(static_cast<unsigned>(i)); });
+                forFirst(fault.fraction, gateways_.size(),
+                         [this](std::size_t i) { startGateway(static_cast<unsigned>(i)); });
                 break;
-            case FaultKind::listsLate: lateGateways_ = 0; break;
-            case FaultKind::connectsLate: connectsLate_ = 0; break;
-            case FaultKind::answersSpoilt: spoilt_ = 0; break;
-            case FaultKind::trafficJump: jump_ = 1; break;
+            case FaultKind::listsLate: lateListGatewayCount_ = 0; break;
+            case FaultKind::connectsLate: maxConnectDelayMs_ = 0; break;
+            case FaultKind::answersSpoilt: spoiltFraction_ = 0; break;
+            case FaultKind::trafficJump: trafficFactor_ = 1; break;
             case FaultKind::counterEmpty:
             case FaultKind::nodesReplaced: break;
         }
     }
 
-    void come(std::size_t at) { change(at, WorkerState::ready); }
+    void announceReady(std::size_t index) { announceState(index, WorkerState::ready); }
 
-    void replace(std::size_t at) {
-        nodes_[at].node->drain();
-        change(at, WorkerState::draining);
-        come(addNode(agenda_.now()));
-        agenda_.at(agenda_.now() + seconds(5), [this, at] {
-            nodes_[at].node->die();
-            lost(at);
+    /// Drains a node and starts a cold one at once. The drained node stops after 5 s.
+    void replaceNode(std::size_t index) {
+        nodes_[index].node->drain();
+        announceState(index, WorkerState::draining);
+        announceReady(addNode(events_.now()));
+        events_.schedule(events_.now() + seconds(5), [this, index] {
+            nodes_[index].node->crash();
+            loseNode(index);
         });
     }
 
-    void kill(unsigned rank) {
-        gateways_[rank].alive = false;
-        ++gateways_[rank].life;
-        note(Step::gatewayDied, rank, 0, 0);
-        std::vector<std::uint64_t> held;
+    void killGateway(unsigned index) {
+        gateways_[index].isAlive = false;
+        ++gateways_[index].incarnation;
+        record(TraceEventKind::gatewayKilled, index, 0, 0);
+        std::vector<std::uint64_t> lostCalls;
         for (auto &[id, call] : calls_)
-            if (call.gateway == rank && call.taken && !call.over) held.push_back(id);
-        for (const std::uint64_t id : held) {
-            calls_.at(id).over = true;
+            if (call.gateway == index && call.isReceived && !call.isOver) lostCalls.push_back(id);
+        for (const std::uint64_t id : lostCalls) {
+            calls_.at(id).isOver = true;
             ++report_.unanswered;
         }
     }
 
-    // ---- clients ----
-
-    /// Open-loop: arrivals do not wait for answers.
-    void arrive() {
-        const double gap = 1000 / (s_.callsASecond * jump_);
-        const Timestamp next = agenda_.now() + fromMs(chance_.exponential(gap));
-        if (std::max(next, start_) >= start_ + s_.length) return;
-        agenda_.at(std::max(next, start_), [this] {
-            auto wish = std::make_shared<Wish>();
-            wish->first = agenda_.now();
-            wish->route = pick(s_.routes);
-            const unsigned plan = pick(s_.plans);
-            const auto &its = byPlan_[plan];
-            wish->customer = its[chance_.skewed(its.size(), s_.plans[plan].skew)];
-            wish->units =
-                1 + static_cast<double>(chance_.below(static_cast<std::size_t>(s_.plans[plan].mostUnits)));
-            wish->worth = s_.facts.routes[wish->route].billedValue * s_.facts.plans[plan].price * wish->units;
-            wish->inside = roomFor(*wish);
-            ++report_.firstTries;
-            if (wish->inside) {
-                report_.routes[wish->route].asked += wish->worth;
-                report_.plans[plan].asked += wish->worth;
-                report_.spans[spanOf(wish->first)].asked += wish->worth;
-                count(*wish, &Fared::asked);
+    // ---- Clients ----
+
+    /// Schedules the next client request, which schedules the one after it. Arrivals are an open-loop Poisson
+    /// process: they don't wait for answers.
+    void scheduleNextArrival() {
+        const double meanGapMs = 1000 / (scenario_.callsPerSecond * trafficFactor_);
+        const Timestamp next = events_.now() + fromMilliseconds(random_.drawExponential(meanGapMs));
+        if (std::max(next, start_) >= start_ + scenario_.duration) return;
+        events_.schedule(std::max(next, start_), [this] {
+            auto request = std::make_shared<ClientRequest>();
+            request->startedAt = events_.now();
+            request->route = drawWeighted(scenario_.routes);
+            const unsigned plan = drawWeighted(scenario_.plans);
+            const auto &customers = customersByPlan_[plan];
+            request->customer =
+                customers[random_.drawSkewedIndex(customers.size(), scenario_.plans[plan].skew)];
+            request->units = 1 + static_cast<double>(random_.drawIndex(
+                                     static_cast<std::size_t>(scenario_.plans[plan].maxUnits)));
+            request->value = scenario_.settings.routes[request->route].billedValue *
+                             scenario_.settings.plans[plan].price * request->units;
+            request->isWithinQuota = takeFromIdealQuota(*request);
+            ++report_.firstCalls;
+            if (request->isWithinQuota) {
+                report_.routes[request->route].requested += request->value;
+                report_.plans[plan].requested += request->value;
+                report_.intervals[reportInterval(request->startedAt)].requested += request->value;
+                addToGroups(*request, &GroupService::requested);
             }
-            come(wish);
-            arrive();
+            sendCall(request);
+            scheduleNextArrival();
         });
     }
 
-    std::size_t spanOf(Timestamp at) const {
-        return std::min(report_.spans.size() - 1, static_cast<std::size_t>((at - start_) / kSpan));
-    }
-
-    template <class Kinds>
-    unsigned pick(const Kinds &kinds) {
-        double all = 0;
-        for (const auto &one : kinds) all += one.share;
-        double at = chance_.part() * all;
-        for (unsigned i = 0; i < kinds.size(); ++i)
-            if ((at -= kinds[i].share) < 0) return i;
-        return static_cast<unsigned>(kinds.size() - 1);
-    }
-
-    void come(const std::shared_ptr<Wish> &wish) {
-        const Customer &customer = customers_[wish->customer];
-        const unsigned rank = (customer.first + static_cast<unsigned>(chance_.skewed(s_.set, s_.uneven))) %
-                              s_.facts.gatewayCount;
-        const Duration left = wish->first + s_.facts.routes[wish->route].clientTimeout - agenda_.now();
-        if (left <= 2 * s_.oneWay) return;
-        const std::uint64_t id = ++lastCall_;
-        ++wish->tries;
+    std::size_t reportInterval(Timestamp at) const {
+        return std::min(report_.intervals.size() - 1,
+                        static_cast<std::size_t>((at - start_) / kReportInterval));
+    }
+
+    /// Draws an index with a probability in proportion to the element's `weight`.
+    template <class Elements>
+    unsigned drawWeighted(const Elements &elements) {
+        double sumOfWeights = 0;
+        for (const auto &element : elements) sumOfWeights += element.weight;
+        double remaining = random_.drawUniform() * sumOfWeights;
+        for (unsigned i = 0; i < elements.size(); ++i)
+            if ((remaining -= elements[i].weight) < 0) return i;
+        return static_cast<unsigned>(elements.size() - 1);
+    }
+
+    /// Sends a request as a new call to a gateway of the customer's subset. Does nothing if too little of the
+    /// client's timeout is left for the way to the gateway and back.
+    void sendCall(const std::shared_ptr<ClientRequest> &request) {
+        const Customer &customer = customers_[request->customer];
+        const unsigned gateway =
+            (customer.subsetStart + static_cast<unsigned>(random_.drawSkewedIndex(
+                                        scenario_.gatewaySubsetSize, scenario_.gatewaySubsetSkew))) %
+            scenario_.settings.gatewayCount;
+        const Duration remaining =
+            request->startedAt + scenario_.settings.routes[request->route].clientTimeout - events_.now();
+        if (remaining <= 2 * scenario_.oneWayLatency) return;
+        const std::uint64_t id = ++lastCallId_;
+        ++request->callCount;
         ++report_.calls;
-        calls_[id] = {wish, rank, agenda_.now(), agenda_.now() + left, false, false, 0, 0, 0};
-        agenda_.at(agenda_.now() + s_.oneWay, [this, id, rank, left] {
+        calls_[id] = {request, gateway, events_.now(), events_.now() + remaining, false, false, 0, 0, 0};
+        events_.schedule(events_.now() + scenario_.oneWayLatency, [this, id, gateway, remaining] {
             Call &call = calls_.at(id);
-            if (!gateways_[rank].alive) {
-                call.over = true;
-                agenda_.at(agenda_.now() + kNoticed, [this, wish = call.wish] { again(wish, {}); });
+            if (!gateways_[gateway].isAlive) {
+                call.isOver = true;
+                events_.schedule(events_.now() + kDeadGatewayTimeout,
+                                 [this, request = call.request] { scheduleRetry(request, {}); });
                 return;
             }
-            const Wish &its = *call.wish;
-            const Customer &who = customers_[its.customer];
-            CallReceived taken;
-            taken.call = {id};
-            taken.route.value = static_cast<std::uint8_t>(its.route);
-            taken.plan.value = static_cast<std::uint16_t>(who.plan);
-            taken.customer = {who.id};
-            taken.units = its.units;
-            taken.gatewaySubsetSize = s_.set;
-            taken.gatewaySubsetStart = who.first;
-            taken.timeRemaining = left - s_.oneWay;
-            taken.isClientRetry = its.tries > 1;
-            call.taken = true;
-            note(Step::taken, rank, id, 0, taken.timeRemaining,
-                 s_.facts.routes[its.route].effect == Effect::nonIdempotent);
-            tell(rank, taken);
+            const ClientRequest &sent = *call.request;
+            const Customer &sender = customers_[sent.customer];
+            CallReceived event;
+            event.call = {id};
+            event.route.value = static_cast<std::uint8_t>(sent.route);
+            event.plan.value = static_cast<std::uint16_t>(sender.plan);
+            event.customer = {sender.id};
+            event.units = sent.units;
+            event.gatewaySubsetSize = scenario_.gatewaySubsetSize;
+            event.gatewaySubsetStart = sender.subsetStart;
+            event.timeRemaining = remaining - scenario_.oneWayLatency;
+            event.isClientRetry = sent.callCount > 1;
+            call.isReceived = true;
+            record(TraceEventKind::callReceived, gateway, id, 0, event.timeRemaining,
+                   scenario_.settings.routes[sent.route].effect == Effect::nonIdempotent);
+            deliver(gateway, event);
         });
     }
 
-    void again(const std::shared_ptr<Wish> &wish, std::optional<Duration> advice) {
-        if (wish->served || wish->tries > s_.retries) return;
-        const Duration wait = advice.value_or(milliseconds(100)) + fromMs(chance_.exponential(50));
-        agenda_.at(agenda_.now() + wait, [this, wish] { come(wish); });
+    /// Lets the client retry, if it has retries left: after the gateway's `retryAfter` (without one: 100 ms)
+    /// and a random delay.
+    void scheduleRetry(const std::shared_ptr<ClientRequest> &request, std::optional<Duration> retryAfter) {
+        if (request->isProxied || request->callCount > scenario_.maxRetries) return;
+        const Duration delay =
+            retryAfter.value_or(milliseconds(100)) + fromMilliseconds(random_.drawExponential(50));
+        events_.schedule(events_.now() + delay, [this, request] { sendCall(request); });
     }
 
-    void answer(CallId id, bool served, bool refused, std::optional<Duration> advice) {
+    /// Gives a call its final answer: proxied, rate-limited, or errored if it is neither.
+    void answerCall(CallId id, bool isProxied, bool isRateLimited, std::optional<Duration> retryAfter) {
         const auto found = calls_.find(id.value);
         if (found == calls_.end()) return;
         Call &call = found->second;
-        note(Step::answered, call.gateway, id.value, 0);
-        call.over = true;
-        Wish &wish = *call.wish;
-        const Duration took = agenda_.now() + s_.oneWay - wish.first;
-        if (served && took <= s_.facts.routes[wish.route].latencyTarget) {
+        record(TraceEventKind::callAnswered, call.gateway, id.value, 0);
+        call.isOver = true;
+        ClientRequest &request = *call.request;
+        const Duration latency = events_.now() + scenario_.oneWayLatency - request.startedAt;
+        if (isProxied && latency <= scenario_.settings.routes[request.route].latencyTarget) {
             ++report_.served;
-            report_.latenciesMs.push_back(inMs(took));
-            if (wish.inside) {
-                report_.routes[wish.route].served += wish.worth;
-                report_.plans[customers_[wish.customer].plan].served += wish.worth;
-                report_.spans[spanOf(wish.first)].served += wish.worth;
-                count(wish, &Fared::served);
+            report_.latenciesMs.push_back(toMilliseconds(latency));
+            if (request.isWithinQuota) {
+                report_.routes[request.route].served += request.value;
+                report_.plans[customers_[request.customer].plan].served += request.value;
+                report_.intervals[reportInterval(request.startedAt)].served += request.value;
+                addToGroups(request, &GroupService::served);
             }
         }
-        if (served) {
-            report_.late += took > s_.facts.routes[wish.route].latencyTarget;
-            wish.served = true;
+        if (isProxied) {
+            report_.late += latency > scenario_.settings.routes[request.route].latencyTarget;
+            request.isProxied = true;
             return;
         }
-        ++(refused ? report_.refused : report_.errored);
-        if (refused && hasRoom(wish)) ++report_.refusedWithRoom;
-        const Effect effect = s_.facts.routes[wish.route].effect;
-        if (refused || effect == Effect::idempotent) again(call.wish, advice);
-    }
-
-    // ---- a limiter that sees everything ----
-
-    void fill(Customer &customer) {
-        const Plan &plan = s_.facts.plans[customer.plan];
-        customer.store =
-            std::min(plan.burst, customer.store + plan.rate * inMs(agenda_.now() - customer.filledAt) / 1000);
-        customer.filledAt = agenda_.now();
-    }
-
-    bool hasRoom(const Wish &wish) {
-        Customer &customer = customers_[wish.customer];
-        fill(customer);
-        const Plan &plan = s_.facts.plans[customer.plan];
-        const bool rate = plan.rate <= 0 || customer.store >= wish.units;
-        return rate && (plan.openCap == 0 || customer.open < static_cast<int>(plan.openCap));
-    }
-
-    /// What one limiter that saw all first tries would let in, whatever the gateways do.
-    bool roomFor(const Wish &wish) {
-        Customer &ideal = ideals_.try_emplace(wish.customer, customers_[wish.customer]).first->second;
-        fill(ideal);
-        if (s_.facts.plans[ideal.plan].rate <= 0) return true;
-        if (ideal.store < wish.units) return false;
-        ideal.store -= wish.units;
+        ++(isRateLimited ? report_.rateLimited : report_.errored);
+        if (isRateLimited && hasQuotaLeft(request)) ++report_.rateLimitedWithinQuota;
+        // An errored call may have run: clients repeat it only if that does no harm.
+        const Effect effect = scenario_.settings.routes[request.route].effect;
+        if (isRateLimited || effect == Effect::idempotent) scheduleRetry(call.request, retryAfter);
+    }
+
+    // ---- Reference limiter: one token bucket per customer, with the calls of all gateways ----
+
+    void refill(Customer &customer) {
+        const Plan &plan = scenario_.settings.plans[customer.plan];
+        customer.level =
+            std::min(plan.burst,
+                     customer.level + plan.rate * toMilliseconds(events_.now() - customer.refilledAt) / 1000);
+        customer.refilledAt = events_.now();
+    }
+
+    /// Whether the quota and the open cap leave room for the request, after the calls that the gateways sent.
+    bool hasQuotaLeft(const ClientRequest &request) {
+        Customer &customer = customers_[request.customer];
+        refill(customer);
+        const Plan &plan = scenario_.settings.plans[customer.plan];
+        const bool hasUnits = plan.rate <= 0 || customer.level >= request.units;
+        return hasUnits && (plan.openCap == 0 || customer.openTries < static_cast<int>(plan.openCap));
+    }
+
+    /// Decides whether a request is within its customer's quota, and takes its units if it is. These buckets
+    /// count each client request once, when it starts, and don't depend on what the gateways do.
+    bool takeFromIdealQuota(const ClientRequest &request) {
+        Customer &ideal =
+            idealCustomers_.try_emplace(request.customer, customers_[request.customer]).first->second;
+        refill(ideal);
+        if (scenario_.settings.plans[ideal.plan].rate <= 0) return true;
+        if (ideal.level < request.units) return false;
+        ideal.level -= request.units;
         return true;
     }
 
-    void spend(const Wish &wish) {
-        const bool room = hasRoom(wish);
-        Customer &customer = customers_[wish.customer];
-        report_.unitsSent += wish.units;
-        if (!room) report_.unitsBeyond += wish.units;
-        if (room && s_.facts.plans[customer.plan].rate > 0) customer.store -= wish.units;
-    }
-
-    // ---- the record and the report ----
-
-    void note(Step step, unsigned gateway, std::uint64_t call, std::uint64_t node, Duration patience = {},
-              bool once = false) {
-        record_.push_back({agenda_.now(), step, gateway, call, node, patience, once});
-        if (step == Step::sent) callOf_[lastAttempt_] = call;
-    }
-
-    Report report() {
-        report_.broken = brokenRules(record_, {s_.facts.answerSlack, s_.facts.drainGrace}, agenda_.now());
-        for (const Machine &machine : nodes_)
-            if (machine.node->fell())
-                report_.broken.push_back("cold nodes: node " + std::to_string(machine.entry.worker.value) +
-                                         " fell over");
-        if (s_.leastShare > 0) report_.starved = starved(report_.fared, s_.leastShare, kTells, kCell);
-        report_.counterCalls = counter_.calls();
-        report_.counterTurnedAway = counter_.turnedAway();
-        report_.events = agenda_.done();
+    /// Takes the units of a call that a gateway sends to a node, or reports them as beyond the quota.
+    void takeFromQuota(const ClientRequest &request) {
+        const bool hasRoom = hasQuotaLeft(request);
+        Customer &customer = customers_[request.customer];
+        report_.unitsSent += request.units;
+        if (!hasRoom) report_.unitsBeyondQuota += request.units;
+        if (hasRoom && scenario_.settings.plans[customer.plan].rate > 0) customer.level -= request.units;
+    }
+
+    // ---- Trace and report ----
+
+    void record(TraceEventKind kind, unsigned gateway, std::uint64_t call, std::uint64_t node,
+                Duration timeRemaining = {}, bool isNonIdempotent = false) {
+        trace_.push_back({events_.now(), kind, gateway, call, node, timeRemaining, isNonIdempotent});
+        if (kind == TraceEventKind::trySent) callByTry_[lastTryId_] = call;
+    }
+
+    Report finishReport() {
+        report_.ruleViolations = findRuleViolations(
+            trace_, {scenario_.settings.answerSlack, scenario_.settings.drainGrace}, events_.now());
+        for (const FleetNode &one : nodes_)
+            if (one.node->hasCrashedCold())
+                report_.ruleViolations.push_back("cold nodes: node " +
+                                                 std::to_string(one.entry.worker.value) + " fell over");
+        if (scenario_.minServedFraction > 0)
+            report_.starvedGroups = findStarvedGroups(report_.groups, scenario_.minServedFraction,
+                                                      kMinStarvationCalls, kServiceInterval);
+        report_.counterRequests = counter_.requestCount();
+        report_.counterRejected = counter_.rejectedCount();
+        report_.events = events_.processedCount();
         std::ranges::sort(report_.latenciesMs);
         return std::move(report_);
     }
 
-    struct Attempt {
+    /// A try that a gateway has sent and that has not ended.
+    struct UpstreamTry {
         std::uint64_t call = 0;
         unsigned gateway = 0;
         TryNumber number;
         WorkerId worker;
         Timestamp sentAt{};
-        unsigned life = 0;
+        unsigned incarnation = 0;
     };
 
-    const Scenario &s_;
-    Chance chance_;
+    const Scenario &scenario_;
+    RandomSource random_;
     Counter counter_;
-    Agenda agenda_;
-    const Timestamp start_ = seconds(1);
-    std::vector<Machine> nodes_;
+    EventQueue events_;
+    const Timestamp start_ = seconds(1);  // of the traffic
+    std::vector<FleetNode> nodes_;        // by worker id - 1; nodes that are gone stay
     std::vector<Gateway> gateways_;
     std::vector<Customer> customers_;
-    std::vector<std::vector<std::size_t>> byPlan_;
-    std::map<std::size_t, Customer> ideals_;
+    std::vector<std::vector<std::size_t>> customersByPlan_;  // indices into customers_
+    std::map<std::size_t, Customer> idealCustomers_;         // see takeFromIdealQuota
     std::map<std::uint64_t, Call> calls_;
-    std::map<std::uint64_t, Attempt> attempts_;
-    std::map<std::uint64_t, std::uint64_t> callOf_;
-    std::uint64_t lastCall_ = 0, lastAttempt_ = 0;
-    double jump_ = 1, spoilt_ = 0;
-    double listsLate_ = 0, connectsLate_ = 0;  // milliseconds
-    unsigned lateGateways_ = 0;
-    std::size_t lateNodes_ = 0;
-    std::vector<double> workAsked_;
-    std::vector<Line> record_;
+    std::map<std::uint64_t, UpstreamTry> openTries_;
+    std::map<std::uint64_t, std::uint64_t> callByTry_;  // of all tries, also of those that have ended
+    std::uint64_t lastCallId_ = 0;
+    std::uint64_t lastTryId_ = 0;
+    // State of the faults trafficJump, answersSpoilt, listsLate and connectsLate.
+    double trafficFactor_ = 1;
+    double spoiltFraction_ = 0;
+    double extraListDelayMs_ = 0;
+    double maxConnectDelayMs_ = 0;
+    unsigned lateListGatewayCount_ = 0;
+    std::size_t slowConnectNodeCount_ = 0;
+    std::vector<double> requestedWorkMs_;  // by interval: mean work of the requests within quotas
+    std::vector<TraceEvent> trace_;
     Report report_;
 };
 
 }  // namespace
 
-double Report::ratio() const {
-    double asked = 0, got = 0;
-    for (const Share &one : routes) {
-        asked += one.asked;
-        got += one.served;
+double Report::serviceRatio() const {
+    double requestedValue = 0;
+    double servedValue = 0;
+    for (const ValueTotals &route : routes) {
+        requestedValue += route.requested;
+        servedValue += route.served;
     }
-    return asked > 0 ? got / asked : 1;
+    return requestedValue > 0 ? servedValue / requestedValue : 1;
 }
 
-Report play(const Scenario &scenario, std::uint64_t seed) { return Run(scenario, seed).play(); }
+Report simulate(const Scenario &scenario, std::uint64_t seed) { return Simulation(scenario, seed).run(); }
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/fleet.hpp
+++ b/src/lab/model/fleet.hpp
@@ -1,3 +1,6 @@
+/// \file
+/// Simulates a fleet of gateways with their clients, nodes, counter and discovery in virtual time. Each
+/// gateway is a real DecisionEngine; everything around it is a model.
 #pragma once
 
 #include <arrowstile/decision_engine.hpp>
@@ -10,83 +13,114 @@
 
 namespace arrowstile::lab {
 
+/// Kinds of injected faults, named as in scenario files (Fault::magnitude is called `size` there). The kinds
+/// from nodesCrash to connectsLate concern a fraction of the nodes or gateways; the order of the values
+/// matters to readScenario.
 enum class FaultKind : std::uint8_t {
-    counterRefuses,
-    counterSilent,
-    counterSlow,
-    counterEmpty,
-    nodesCrash,
-    nodesSilent,
-    nodesSlow,
-    nodesFail,
-    nodesReplaced,
-    gatewaysKilled,
-    listsLate,
-    connectsLate,
-    answersSpoilt,
-    trafficJump
+    counterRefuses,  ///< the counter rejects all requests
+    counterSilent,   ///< the counter doesn't reply
+    counterSlow,     ///< the counter's service time grows; magnitude: factor
+    counterEmpty,    ///< the counter loses all counts, once at the start of the fault
+    nodesCrash,      ///< nodes crash; as many cold nodes start at the end of the fault
+    nodesSilent,     ///< nodes accept connections, but don't reply
+    nodesSlow,       ///< jobs take longer; magnitude: factor
+    nodesFail,       ///< jobs end as errored after they ran; magnitude: fraction of the jobs
+    nodesReplaced,   ///< one after the other, evenly over the fault's duration, nodes drain and cold ones
+                     ///< start
+    gatewaysKilled,  ///< gateways are killed, and start again at the end of the fault
+    listsLate,       ///< gateways are told late of changed nodes; magnitude: additional delay, ms
+    connectsLate,    ///< connecting to nodes takes time, uniform from 0; magnitude: its upper bound, ms
+    answersSpoilt,   ///< answers of nodes arrive as errors; magnitude: fraction of the answers
+    trafficJump      ///< more calls arrive; magnitude: factor
 };
 
+/// One injected fault.
 struct Fault {
     FaultKind kind{};
-    Timestamp at{};
-    Duration length{};
-    double part = 0;  ///< of nodes or gateways
-    double size = 1;  ///< how many times slower, or more; the share that fails; milliseconds, of what is late
+    Timestamp startsAt{};  ///< since the traffic started
+    Duration duration{};
+    double fraction = 0;   ///< of the nodes or gateways, for kinds that concern some of them
+    double magnitude = 1;  ///< meaning and unit: see FaultKind
 };
 
+/// Traffic of one route.
 struct RouteTraffic {
     std::string name;
-    double share = 1, workMs = 100;
+    double weight = 1;        ///< share of the calls, relative to the weights of the other routes
+    double meanWorkMs = 100;  ///< mean work of a call, see Job::workMs; exponentially distributed
 };
 
+/// Traffic of one plan.
 struct PlanTraffic {
     std::string name;
-    double share = 1;
-    unsigned customers = 10;
-    double mostUnits = 1;
-    double skew = 0;  ///< the n-th customer asks 1 / n^skew as often as the first
+    double weight = 1;  ///< share of the calls, relative to the weights of the other plans
+    unsigned customerCount = 10;
+    double maxUnits = 1;  ///< the cost of a call is a whole number from 1 to this, uniformly distributed
+    double skew = 0;      ///< the n-th customer sends about 1 / n^skew times as many calls as the first
 };
 
-/// All that a run needs, checked before it starts.
+/// Everything that a run needs. readScenario checks it; simulate relies on that.
 struct Scenario {
     std::string name;
-    EngineSettings facts;  ///< as a gatekeeper would be told; its rank is set by the run
+    EngineSettings settings;  ///< of every gateway; the run sets gatewayIndex
     NodeSpec node;
-    unsigned nodes = 14;
+    unsigned nodeCount = 14;
     CounterSpec counter;
-    Duration oneWay = std::chrono::milliseconds(1), listLate = std::chrono::milliseconds(500);
-    std::vector<RouteTraffic> routes;
-    std::vector<PlanTraffic> plans;
-    double callsASecond = 200;
-    unsigned set = 3, retries = 1;  ///< gateways of a customer; further tries of a client
-    double uneven = 0;  ///< the n-th gateway of a customer's set gets 1 / n^uneven of what the first does
-    Duration length = std::chrono::seconds(20);
+    Duration oneWayLatency = std::chrono::milliseconds(1);  ///< of every network connection
+    Duration listDelay = std::chrono::milliseconds(500);    ///< until gateways are told of a changed node
+    std::vector<RouteTraffic> routes;                       ///< in the order of settings.routes
+    std::vector<PlanTraffic> plans;                         ///< in the order of settings.plans
+    double callsPerSecond = 200;                            ///< without clients' retries
+    unsigned gatewaySubsetSize = 3;  ///< gateways over which a customer's calls are spread
+    unsigned maxRetries = 1;         ///< of a client, after the first call
+    double gatewaySubsetSkew =
+        0;  ///< the n-th gateway of a subset gets about 1 / n^skew of the first's calls
+    Duration duration = std::chrono::seconds(20);  ///< of the traffic
     std::vector<Fault> faults;
-    double leastShare = 0;  ///< of what could be served, for each route and plan; 0: not checked
+    /// Each route and plan must be served this fraction of what is achievable (see GroupService). 0: not
+    /// checked.
+    double minServedFraction = 0;
 };
 
-struct Share {
+/// Billed value requested and served, for one route, plan or time interval.
+struct ValueTotals {
     std::string name;
-    double asked = 0, served = 0;  ///< billed value, of first tries; served: in time, by any try
+    double requested = 0;  ///< of clients' requests within quotas; each counts once, whatever its retries
+    double served = 0;     ///< of those requests that were answered within the latency target, by any call
 };
 
+/// Results of a run.
 struct Report {
-    std::uint64_t calls = 0, firstTries = 0, served = 0, late = 0, refused = 0, errored = 0, unanswered = 0;
-    std::uint64_t triesSent = 0, counterCalls = 0, counterTurnedAway = 0, events = 0;
-    double unitsSent = 0,
-           unitsBeyond = 0;  ///< of a limiter that sees everything: sent although its store was empty
-    std::uint64_t refusedWithRoom = 0;
-    double worstPush = 0;  ///< of a cold node, as a part of what would push it over
-    std::vector<Share> routes, plans, spans;
-    std::vector<double> latenciesMs;  ///< of calls served, from when the client sent them
-    std::vector<std::string> broken;
-    std::vector<Fared> fared;          ///< routes, then plans
-    std::vector<std::string> starved;  ///< those that got less than the scenario's least share
-    double ratio() const;
+    std::uint64_t calls = 0;       ///< including clients' retries
+    std::uint64_t firstCalls = 0;  ///< without clients' retries
+    std::uint64_t served = 0;      ///< calls proxied within the latency target
+    std::uint64_t late = 0;        ///< calls proxied after it
+    std::uint64_t rateLimited = 0;
+    std::uint64_t errored = 0;
+    std::uint64_t unanswered = 0;  ///< calls lost with a killed gateway
+    std::uint64_t triesSent = 0;
+    std::uint64_t counterRequests = 0;
+    std::uint64_t counterRejected = 0;
+    std::uint64_t events = 0;  ///< actions run by the event queue
+    double unitsSent = 0;      ///< cost of the calls sent to nodes
+    /// Part of unitsSent that a reference limiter, which sees the calls of all gateways, would have held
+    /// back.
+    double unitsBeyondQuota = 0;
+    /// Rate-limited calls for which that reference limiter had room.
+    std::uint64_t rateLimitedWithinQuota = 0;
+    double maxColdLoadFraction = 0;  ///< maximum over all nodes, see Node::maxColdLoadFraction
+    std::vector<ValueTotals> routes;
+    std::vector<ValueTotals> plans;
+    std::vector<ValueTotals> intervals;  ///< of the traffic, 5 s each; a request counts where it started
+    std::vector<double> latenciesMs;     ///< of served calls, since the client's first call; sorted
+    std::vector<std::string> ruleViolations;
+    std::vector<GroupService> groups;        ///< routes, then plans
+    std::vector<std::string> starvedGroups;  ///< those below Scenario::minServedFraction
+    /// Billed value served as a fraction of that requested.
+    double serviceRatio() const;
 };
 
-/// Plays a scenario in virtual time against the real decision module, one instance a gateway.
-Report play(const Scenario &scenario, std::uint64_t seed);
+/// Simulates a scenario. Equal scenarios and seeds give equal reports.
+Report simulate(const Scenario &scenario, std::uint64_t seed);
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/node.cpp
+++ b/src/lab/model/node.cpp
@@ -5,105 +5,114 @@
 
 namespace arrowstile::lab {
 
-double Chance::exponential(double mean) { return -mean * std::log(1 - part()); }
+double RandomSource::drawExponential(double mean) { return -mean * std::log(1 - drawUniform()); }
 
-/// The continuous law from 1 to count + 1, cut to whole numbers: no table, and the same shape at any count.
-std::size_t Chance::skewed(std::size_t count, double skew) {
-    if (skew <= 0) return below(count);
-    const double last = static_cast<double>(count) + 1, at = part(), flat = 1 - skew;
-    const double drawn =
-        std::abs(flat) < 1e-9 ? std::pow(last, at) : std::pow(1 + at * (std::pow(last, flat) - 1), 1 / flat);
+/// Draws from the continuous power law on [1, count + 1) by inversion and rounds down. Unlike the exact Zipf
+/// distribution this needs no table of weights, and the shape is the same for every count.
+std::size_t RandomSource::drawSkewedIndex(std::size_t count, double skew) {
+    if (skew <= 0) return drawIndex(count);
+    const double upperBound = static_cast<double>(count) + 1;
+    const double uniform = drawUniform();
+    const double exponent = 1 - skew;
+    const double drawn = std::abs(exponent) < 1e-9
+                             ? std::pow(upperBound, uniform)
+                             : std::pow(1 + uniform * (std::pow(upperBound, exponent) - 1), 1 / exponent);
     return std::min(count - 1, static_cast<std::size_t>(drawn) - 1);
 }
 
-double Node::capacity(Timestamp now) const {
-    const double warm =
-        spec_.warmUp > Duration{} ? std::clamp(inMs(now - startedAt_) / inMs(spec_.warmUp), 0.0, 1.0) : 1;
-    return spec_.coldShare + (1 - spec_.coldShare) * warm;
+double Node::capacityFraction(Timestamp now) const {
+    const double warmth =
+        spec_.warmUp > Duration{}
+            ? std::clamp(toMilliseconds(now - startedAt_) / toMilliseconds(spec_.warmUp), 0.0, 1.0)
+            : 1;
+    return spec_.coldCapacityFraction + (1 - spec_.coldCapacityFraction) * warmth;
 }
 
-double Node::able(Timestamp now) const {
-    if (!alive_ || silent_ || draining_) return 0;
-    return capacity(now) * spec_.cores * spec_.speed / slower_;
+double Node::availableCapacity(Timestamp now) const {
+    if (!isAlive_ || isSilent_ || isDraining_) return 0;
+    return capacityFraction(now) * spec_.cores * spec_.speed / slowdown_;
 }
 
-/// All work that comes to a cold node counts against what it can do in the span, also what it turns away.
-void Node::push(Timestamp now, double workMs) {
-    if (!cold(now) || spec_.fallMultiple <= 0) return;
-    pushes_.emplace_back(now, workMs);
-    pushed_ += workMs;
-    while (!pushes_.empty() && pushes_.front().first < now - spec_.fallSpan) {
-        pushed_ -= pushes_.front().second;
-        pushes_.pop_front();
+/// Adds a job to the load on a cold node, and crashes the node if that is too much. All work sent to the node
+/// counts, including jobs that it rejects.
+void Node::checkColdLoad(Timestamp now, double workMs) {
+    if (!isCold(now) || spec_.coldOverloadFactor <= 0) return;
+    coldLoad_.emplace_back(now, workMs);
+    coldLoadMs_ += workMs;
+    while (!coldLoad_.empty() && coldLoad_.front().first < now - spec_.coldOverloadWindow) {
+        coldLoadMs_ -= coldLoad_.front().second;
+        coldLoad_.pop_front();
     }
-    const double most = spec_.fallMultiple * capacity(now) * spec_.cores * spec_.speed * inMs(spec_.fallSpan);
-    worstPush_ = std::max(worstPush_, pushed_ / most);
-    if (pushed_ > most) {
-        die();
-        fell_ = true;
+    const double maxLoadMs = spec_.coldOverloadFactor * capacityFraction(now) * spec_.cores * spec_.speed *
+                             toMilliseconds(spec_.coldOverloadWindow);
+    maxColdLoadFraction_ = std::max(maxColdLoadFraction_, coldLoadMs_ / maxLoadMs);
+    if (coldLoadMs_ > maxLoadMs) {
+        crash();
+        hasCrashedCold_ = true;
     }
 }
 
-void Node::begin(Timestamp now, const Job &job) {
-    const double took = job.workMs / (spec_.speed * capacity(now)) * slower_;
-    running_.push_back({now + fromMs(took), job, chance_.part() < failing_});
+void Node::start(Timestamp now, const Job &job) {
+    const double runMs = job.workMs / (spec_.speed * capacityFraction(now)) * slowdown_;
+    running_.push_back({now + fromMilliseconds(runMs), job, random_.drawUniform() < failureFraction_});
 }
 
-std::optional<Ended> Node::offer(Timestamp now, const Job &job) {
-    push(now, job.workMs);
-    if (!alive_) return std::nullopt;
-    if (draining_) return Ended{job.id, Fate::turnedAway, false, queue()};
-    while (!seen_.empty() && seen_.front().first < now) {
-        tokens_.erase(seen_.front().second);
-        seen_.pop_front();
+std::optional<JobResult> Node::submit(Timestamp now, const Job &job) {
+    checkColdLoad(now, job.workMs);
+    if (!isAlive_) return std::nullopt;
+    if (isDraining_) return JobResult{job.id, JobOutcome::rejected, false, queueLength()};
+    while (!tokenExpiries_.empty() && tokenExpiries_.front().first < now) {
+        tokenedCalls_.erase(tokenExpiries_.front().second);
+        tokenExpiries_.pop_front();
     }
-    Job taken = job;
-    if (job.tokened && !tokens_.insert(job.call).second)
-        taken.workMs = 0;  // a repeat: known, not run again
-    else if (job.tokened)
-        seen_.emplace_back(now + job.window, job.call);
+    Job accepted = job;
+    if (job.isTokened && !tokenedCalls_.insert(job.call).second)
+        accepted.workMs = 0;  // a repeat: takes its turn and is answered, but not run again
+    else if (job.isTokened)
+        tokenExpiries_.emplace_back(now + job.dedupWindow, job.call);
     if (running_.size() < spec_.cores) {
-        begin(now, taken);
-    } else if (waiting_.size() < spec_.waiting) {
-        waiting_.push_back(taken);
+        start(now, accepted);
+    } else if (queue_.size() < spec_.maxQueueLength) {
+        queue_.push_back(accepted);
     } else {
-        if (job.tokened && taken.workMs > 0) tokens_.erase(job.call);
-        return Ended{job.id, Fate::turnedAway, false, queue()};
+        // A rejected call has had no effect, so its next try is not a repeat.
+        if (job.isTokened && accepted.workMs > 0) tokenedCalls_.erase(job.call);
+        return JobResult{job.id, JobOutcome::rejected, false, queueLength()};
     }
     return std::nullopt;
 }
 
-void Node::callOff(JobId id) {
-    std::erase_if(waiting_, [id](const Job &one) { return one.id == id; });
+void Node::cancel(JobId id) {
+    std::erase_if(queue_, [id](const Job &job) { return job.id == id; });
 }
 
-std::optional<Timestamp> Node::next() const {
+std::optional<Timestamp> Node::nextCompletion() const {
     if (running_.empty()) return std::nullopt;
-    return std::ranges::min_element(running_, {}, &Running::until)->until;
+    return std::ranges::min_element(running_, {}, &RunningJob::endsAt)->endsAt;
 }
 
-std::vector<Ended> Node::ended(Timestamp now) {
-    std::vector<Ended> out;
-    while (alive_ && !running_.empty()) {
-        const auto first = std::ranges::min_element(running_, {}, &Running::until);
-        if (first->until > now) break;
-        const Running done = *first;
+std::vector<JobResult> Node::takeCompleted(Timestamp now) {
+    std::vector<JobResult> results;
+    while (isAlive_ && !running_.empty()) {
+        const auto first = std::ranges::min_element(running_, {}, &RunningJob::endsAt);
+        if (first->endsAt > now) break;
+        const RunningJob done = *first;
         running_.erase(first);
-        out.push_back(
-            {done.job.id, done.fails ? Fate::errored : Fate::answered, done.job.workMs > 0, queue()});
-        if (!waiting_.empty()) {
-            const Job next = waiting_.front();
-            waiting_.pop_front();
-            begin(done.until, next);
+        results.push_back({done.job.id, done.willFail ? JobOutcome::errored : JobOutcome::answered,
+                           done.job.workMs > 0, queueLength()});
+        if (!queue_.empty()) {
+            const Job next = queue_.front();
+            queue_.pop_front();
+            start(done.endsAt, next);
         }
     }
-    return out;
+    return results;
 }
 
-void Node::die() {
-    alive_ = false;
+void Node::crash() {
+    isAlive_ = false;
     running_.clear();
-    waiting_.clear();
+    queue_.clear();
 }
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/rules.cpp
+++ b/src/lab/model/rules.cpp
@@ -6,63 +6,73 @@
 namespace arrowstile::lab {
 namespace {
 
-struct Held {
-    Timestamp due{};
-    unsigned gateway = 0, answers = 0, runs = 0;
-    int out = 0;
-    bool once = false, excused = false;
+/// State of a call during the check.
+struct CallState {
+    Timestamp deadline{};
+    unsigned gateway = 0;
+    unsigned answerCount = 0;
+    unsigned runCount = 0;
+    int openTries = 0;
+    bool isNonIdempotent = false;
+    bool isExempt = false;  // its gateway was killed: it needn't be answered, or in time
 };
 
-std::string where(const char *rule, std::uint64_t call, Timestamp at, const char *what) {
+std::string describe(const char *rule, std::uint64_t call, Timestamp at, const char *what) {
     return std::string(rule) + ": call " + std::to_string(call) + " at " + std::to_string(at.count() / 1000) +
            " ms, " + what;
 }
 
 }  // namespace
 
-std::vector<std::string> brokenRules(const std::vector<Line> &record, const RuleLimits &limits,
-                                     Timestamp end) {
-    std::vector<std::string> broken;
-    std::map<std::uint64_t, Held> calls;
-    // gateway and node: since when it was told
-    std::map<std::pair<unsigned, std::uint64_t>, Timestamp> drains;
-    for (const Line &line : record) {
-        Held &call = calls[line.call];
-        switch (line.step) {
-            case Step::taken:
-                call = {line.at + line.patience, line.gateway, 0, 0, 0, line.once, false};
+std::vector<std::string> findRuleViolations(const std::vector<TraceEvent> &trace, const RuleLimits &limits,
+                                            Timestamp end) {
+    std::vector<std::string> violations;
+    std::map<std::uint64_t, CallState> calls;
+    // By gateway and node: when the gateway was first told that the node isn't ready.
+    std::map<std::pair<unsigned, std::uint64_t>, Timestamp> notReadySince;
+    for (const TraceEvent &event : trace) {
+        CallState &call = calls[event.call];
+        switch (event.kind) {
+            case TraceEventKind::callReceived:
+                call = {event.at + event.timeRemaining, event.gateway, 0, 0, 0, event.isNonIdempotent, false};
                 break;
-            case Step::sent: {
-                if (++call.out > 1)
-                    broken.push_back(where("one try", line.call, line.at, "a second try is out"));
-                const auto told = drains.find({line.gateway, line.node});
-                if (told != drains.end() && line.at > told->second + limits.drainGrace)
-                    broken.push_back(where("drains", line.call, line.at, "sent to a node told to drain"));
+            case TraceEventKind::trySent: {
+                if (++call.openTries > 1)
+                    violations.push_back(describe("one try", event.call, event.at, "a second try is out"));
+                const auto found = notReadySince.find({event.gateway, event.node});
+                if (found != notReadySince.end() && event.at > found->second + limits.drainGrace)
+                    violations.push_back(
+                        describe("drains", event.call, event.at, "sent to a node told to drain"));
                 break;
             }
-            case Step::tryEnded: --call.out; break;
-            case Step::ran:
-                if (++call.runs > 1 && call.once)
-                    broken.push_back(where("effects", line.call, line.at, "ran a second time"));
+            case TraceEventKind::tryEnded: --call.openTries; break;
+            case TraceEventKind::callRun:
+                if (++call.runCount > 1 && call.isNonIdempotent)
+                    violations.push_back(describe("effects", event.call, event.at, "ran a second time"));
                 break;
-            case Step::answered:
-                if (++call.answers > 1)
-                    broken.push_back(where("answers", line.call, line.at, "a second answer"));
-                if (line.at > call.due + limits.answerSlack && !call.excused)
-                    broken.push_back(where("answers", line.call, line.at, "answered too late"));
+            case TraceEventKind::callAnswered:
+                if (++call.answerCount > 1)
+                    violations.push_back(describe("answers", event.call, event.at, "a second answer"));
+                if (event.at > call.deadline + limits.answerSlack && !call.isExempt)
+                    violations.push_back(describe("answers", event.call, event.at, "answered too late"));
                 break;
-            case Step::told: drains.try_emplace({line.gateway, line.node}, line.at); break;
-            case Step::gatewayDied:
-                for (auto &[id, held] : calls) held.excused = held.excused || held.gateway == line.gateway;
-                std::erase_if(drains, [&](const auto &one) { return one.first.first == line.gateway; });
+            case TraceEventKind::nodeNotReady:
+                notReadySince.try_emplace({event.gateway, event.node}, event.at);
+                break;
+            case TraceEventKind::gatewayKilled:
+                for (auto &[id, state] : calls)
+                    state.isExempt = state.isExempt || state.gateway == event.gateway;
+                // What the killed gateway was told doesn't bind the one that starts in its place.
+                std::erase_if(notReadySince,
+                              [&](const auto &entry) { return entry.first.first == event.gateway; });
                 break;
         }
     }
-    calls.erase(0);  // lines that name no call
+    calls.erase(0);  // the entry of events that concern no call
     for (const auto &[id, call] : calls)
-        if (call.answers == 0 && !call.excused && call.due + limits.answerSlack < end)
-            broken.push_back(where("answers", id, call.due, "never answered"));
-    return broken;
+        if (call.answerCount == 0 && !call.isExempt && call.deadline + limits.answerSlack < end)
+            violations.push_back(describe("answers", id, call.deadline, "never answered"));
+    return violations;
 }
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/rules.hpp
+++ b/src/lab/model/rules.hpp
@@ -1,3 +1,5 @@
+/// \file
+/// Checks of the rules that gateways have to keep, made on the trace of a simulated run.
 #pragma once
 
 #include <cstdint>
@@ -5,30 +7,47 @@
 #include <string>
 #include <vector>
 
-#include "agenda.hpp"
+#include "event_queue.hpp"
 
 namespace arrowstile::lab {
 
-enum class Step : std::uint8_t { taken, sent, tryEnded, ran, answered, told, gatewayDied };
+/// What a TraceEvent records.
+enum class TraceEventKind : std::uint8_t {
+    callReceived,  ///< a gateway received a call
+    trySent,       ///< a gateway sent a try to a node
+    tryEnded,      ///< the gateway's try is over
+    callRun,       ///< a node ran the call, so that the call had its effect
+    callAnswered,  ///< a gateway gave a call's final answer
+    nodeNotReady,  ///< a gateway was told that a node is draining or gone
+    gatewayKilled
+};
 
-/// One line of the record of a run, from both sides of the gatekeepers, in order of time.
-struct Line {
+/// One event of a run, as observed outside the gateways: at their clients, nodes and discovery.
+struct TraceEvent {
     Timestamp at{};
-    Step step{};
+    TraceEventKind kind{};
     unsigned gateway = 0;
-    std::uint64_t call = 0;
-    std::uint64_t node = 0;
-    Duration patience{};  ///< taken: how long the client waits
-    bool once = false;    ///< taken: must not run twice
+    std::uint64_t call = 0;        ///< 0: the event concerns no call
+    std::uint64_t node = 0;        ///< 0: the event concerns no node
+    Duration timeRemaining{};      ///< callReceived only: until the client stops waiting
+    bool isNonIdempotent = false;  ///< callReceived only: the call must not run twice
 };
 
+/// Tolerances of the rules.
 struct RuleLimits {
-    Duration answerSlack{}, drainGrace{};
+    Duration answerSlack{};  ///< how much later than the client's timeout an answer may come
+    Duration drainGrace{};   ///< how long after nodeNotReady a gateway may still send tries to the node
 };
 
-/// Finds what breaks a rule, from the record alone: it knows nothing of the gatekeepers' own state.
-/// Names are "answers" (one, in time), "effects" (none twice), "drains", "one try" (none overlap).
-std::vector<std::string> brokenRules(const std::vector<Line> &record, const RuleLimits &limits,
-                                     Timestamp end);
+/// Checks a trace, whose events must be in order of time, and returns one line for each violation. It uses no
+/// state of the gateways. `end` is the time at which the run ended. Each line starts with the name of the
+/// rule:
+/// - "answers": each call gets exactly one final answer, and in time. Calls of a gateway that was killed may
+///   stay unanswered or be answered late.
+/// - "effects": a non-idempotent call runs at most once.
+/// - "drains": no try is sent to a node of which the gateway was told that it is draining or gone.
+/// - "one try": the tries of a call don't overlap.
+std::vector<std::string> findRuleViolations(const std::vector<TraceEvent> &trace, const RuleLimits &limits,
+                                            Timestamp end);
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/starvation.hpp
+++ b/src/lab/model/starvation.hpp
@@ -1,24 +1,30 @@
+/// \file
+/// Detects starvation: a route or plan that is served far less than it could be.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "agenda.hpp"
+#include "event_queue.hpp"
 
 namespace arrowstile::lab {
 
-/// How one group of calls (a route, a plan) fared, by spans of a run, in calls within quotas.
-struct Fared {
-    std::string group;
-    std::vector<double> asked, served;
-    std::vector<double> could;  ///< what a policy that sees everything could have served, all groups alike
+/// How the calls of one group (a route or a plan) were served over a run: numbers of calls within quotas, one
+/// element per time interval.
+struct GroupService {
+    std::string name;
+    std::vector<double> requested;
+    std::vector<double> served;      ///< answered in time
+    std::vector<double> achievable;  ///< what an ideal policy with full knowledge would serve, which treats
+                                     ///< all groups alike
 };
 
-double sumOf(const std::vector<double> &spans);
+double sum(const std::vector<double> &values);
 
-/// Names each group that got less than `least` of what could have been served, with the span that it fared
-/// worst in. Groups of fewer calls than `fewest` say too little and are left out.
-std::vector<std::string> starved(const std::vector<Fared> &groups, double least, double fewest,
-                                 Duration span);
+/// Returns a line for each group that was served less than `minFraction` of what was achievable. The line
+/// also names the interval with the largest difference. Groups with fewer than `minCalls` achievable calls
+/// are skipped, since their result is mostly chance. `interval` is the length of the intervals.
+std::vector<std::string> findStarvedGroups(const std::vector<GroupService> &groups, double minFraction,
+                                           double minCalls, Duration interval);
 
 }  // namespace arrowstile::lab
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -8,104 +8,113 @@
 namespace arrowstile::lab {
 namespace {
 
-constexpr double kPercentiles[] = {0.5, 0.9, 0.99, 0.999};
+constexpr double kPercentileFractions[] = {0.5, 0.9, 0.99, 0.999};
 
+/// Formats as printf does. Texts over 255 bytes are cut.
 template <class... Values>
-std::string line(const char *form, Values... values) {
+std::string formatText(const char *pattern, Values... values) {
     char text[256];
-    std::snprintf(text, sizeof text, form, values...);
+    std::snprintf(text, sizeof text, pattern, values...);
     return text;
 }
 
-double part(double of, double all) { return all > 0 ? of / all : 0; }
+/// Returns part / whole, and 0 for an empty whole.
+double ratio(double part, double whole) { return whole > 0 ? part / whole : 0; }
 
 }  // namespace
 
-double percentile(const std::vector<double> &sorted, double of) {
+double percentile(const std::vector<double> &sorted, double fraction) {
     if (sorted.empty()) return 0;
-    const auto rank = static_cast<std::size_t>(std::ceil(of * static_cast<double>(sorted.size())));
+    const auto rank = static_cast<std::size_t>(std::ceil(fraction * static_cast<double>(sorted.size())));
     return sorted[std::clamp<std::size_t>(rank, 1, sorted.size()) - 1];
 }
 
-std::string spansCsv(const Report &report) {
+std::string intervalsCsv(const Report &report) {
     std::string text = "from,asked,served,ratio\n";
-    for (const Share &one : report.spans)
-        text +=
-            line("%s,%.0f,%.0f,%.4f\n", one.name.c_str(), one.asked, one.served, part(one.served, one.asked));
+    for (const ValueTotals &interval : report.intervals)
+        text += formatText("%s,%.0f,%.0f,%.4f\n", interval.name.c_str(), interval.requested, interval.served,
+                           ratio(interval.served, interval.requested));
     return text;
 }
 
 std::string plainReport(const Scenario &scenario, std::uint64_t seed, const Report &report) {
-    const auto count = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
-    std::string text = line("%s, seed %llu (virtual time, simulated)\n", scenario.name.c_str(), count(seed));
-    text += line("service ratio %.4f\n", report.ratio());
-    text += line(
+    const auto printable = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
+    std::string text =
+        formatText("%s, seed %llu (virtual time, simulated)\n", scenario.name.c_str(), printable(seed));
+    text += formatText("service ratio %.4f\n", report.serviceRatio());
+    text += formatText(
         "calls %llu (first tries %llu)  served %llu  late %llu  rate-limited %llu  errored %llu  unanswered "
         "%llu\n",
-        count(report.calls), count(report.firstTries), count(report.served), count(report.late),
-        count(report.refused), count(report.errored), count(report.unanswered));
-    text += line("units beyond quotas %.4f of those sent, refused with room %.4f of the calls\n",
-                 part(report.unitsBeyond, report.unitsSent),
-                 part(double(report.refusedWithRoom), double(report.calls)));
-    text +=
-        line("counter calls %llu, turned away %llu; tries %llu; events %llu\n", count(report.counterCalls),
-             count(report.counterTurnedAway), count(report.triesSent), count(report.events));
-    text += line("most work sent to a cold node: %.3f of what would push it over\n", report.worstPush);
+        printable(report.calls), printable(report.firstCalls), printable(report.served),
+        printable(report.late), printable(report.rateLimited), printable(report.errored),
+        printable(report.unanswered));
+    text += formatText("units beyond quotas %.4f of those sent, refused with room %.4f of the calls\n",
+                       ratio(report.unitsBeyondQuota, report.unitsSent),
+                       ratio(double(report.rateLimitedWithinQuota), double(report.calls)));
+    text += formatText("counter calls %llu, turned away %llu; tries %llu; events %llu\n",
+                       printable(report.counterRequests), printable(report.counterRejected),
+                       printable(report.triesSent), printable(report.events));
+    text += formatText("most work sent to a cold node: %.3f of what would push it over\n",
+                       report.maxColdLoadFraction);
     text += "latency, ms, of " + std::to_string(report.latenciesMs.size()) + ":";
-    for (const double of : kPercentiles)
-        text += line("  p%g %.1f", of * 100, percentile(report.latenciesMs, of));
+    for (const double fraction : kPercentileFractions)
+        text += formatText("  p%g %.1f", fraction * 100, percentile(report.latenciesMs, fraction));
     text += "\n";
-    for (const auto &[what, shares] : {std::pair("route", &report.routes), std::pair("plan", &report.plans),
-                                       std::pair("from", &report.spans)})
-        for (const Share &one : *shares)
-            text += line("%-5s %-12s %.4f of %.0f\n", what, one.name.c_str(), part(one.served, one.asked),
-                         one.asked);
-    for (const Fared &one : report.fared)
-        text += line("%-24s %.4f of what could be served\n", one.group.c_str(),
-                     part(sumOf(one.served), sumOf(one.could)));
-    for (const std::string &one : report.starved) text += "starved: " + one + "\n";
-    text += report.broken.empty() ? "rules kept\n"
-                                  : "rules broken: " + std::to_string(report.broken.size()) + "\n";
-    for (std::size_t i = 0; i < std::min<std::size_t>(report.broken.size(), 20); ++i)
-        text += "  " + report.broken[i] + "\n";
+    for (const auto &[label, list] : {std::pair("route", &report.routes), std::pair("plan", &report.plans),
+                                      std::pair("from", &report.intervals)})
+        for (const ValueTotals &totals : *list)
+            text += formatText("%-5s %-12s %.4f of %.0f\n", label, totals.name.c_str(),
+                               ratio(totals.served, totals.requested), totals.requested);
+    for (const GroupService &group : report.groups)
+        text += formatText("%-24s %.4f of what could be served\n", group.name.c_str(),
+                           ratio(sum(group.served), sum(group.achievable)));
+    for (const std::string &line : report.starvedGroups) text += "starved: " + line + "\n";
+    text += report.ruleViolations.empty()
+                ? "rules kept\n"
+                : "rules broken: " + std::to_string(report.ruleViolations.size()) + "\n";
+    for (std::size_t i = 0; i < std::min<std::size_t>(report.ruleViolations.size(), 20); ++i)
+        text += "  " + report.ruleViolations[i] + "\n";
     return text;
 }
 
 std::string jsonReport(const Scenario &scenario, std::uint64_t seed, const Report &report) {
     using json = nlohmann::ordered_json;
-    json all{
-        {"scenario", scenario.name}, {"seed", seed}, {"simulated", true}, {"service_ratio", report.ratio()}};
-    all["calls"] = {{"all", report.calls},
-                    {"first_tries", report.firstTries},
-                    {"served", report.served},
-                    {"late", report.late},
-                    {"rate_limited", report.refused},
-                    {"errored", report.errored},
-                    {"unanswered", report.unanswered}};
-    all["quotas"] = {{"units_sent", report.unitsSent},
-                     {"units_beyond", report.unitsBeyond},
-                     {"refused_with_room", report.refusedWithRoom}};
-    all["counter"] = {{"calls", report.counterCalls}, {"turned_away", report.counterTurnedAway}};
-    all["tries"] = report.triesSent;
-    all["events"] = report.events;
-    all["cold_push"] = report.worstPush;
-    json &latency = all["latency_ms"] = {{"count", report.latenciesMs.size()}};
-    for (const double of : kPercentiles) latency[line("p%g", of * 100)] = percentile(report.latenciesMs, of);
-    for (const auto &[what, shares] : {std::pair("routes", &report.routes), std::pair("plans", &report.plans),
-                                       std::pair("spans", &report.spans)}) {
-        json &list = all[what] = json::array();
-        for (const Share &one : *shares)
-            list.push_back({{"name", one.name}, {"asked", one.asked}, {"served", one.served}});
+    json document{{"scenario", scenario.name},
+                  {"seed", seed},
+                  {"simulated", true},
+                  {"service_ratio", report.serviceRatio()}};
+    document["calls"] = {{"all", report.calls},
+                         {"first_tries", report.firstCalls},
+                         {"served", report.served},
+                         {"late", report.late},
+                         {"rate_limited", report.rateLimited},
+                         {"errored", report.errored},
+                         {"unanswered", report.unanswered}};
+    document["quotas"] = {{"units_sent", report.unitsSent},
+                          {"units_beyond", report.unitsBeyondQuota},
+                          {"refused_with_room", report.rateLimitedWithinQuota}};
+    document["counter"] = {{"calls", report.counterRequests}, {"turned_away", report.counterRejected}};
+    document["tries"] = report.triesSent;
+    document["events"] = report.events;
+    document["cold_push"] = report.maxColdLoadFraction;
+    json &latency = document["latency_ms"] = {{"count", report.latenciesMs.size()}};
+    for (const double fraction : kPercentileFractions)
+        latency[formatText("p%g", fraction * 100)] = percentile(report.latenciesMs, fraction);
+    for (const auto &[key, list] : {std::pair("routes", &report.routes), std::pair("plans", &report.plans),
+                                    std::pair("spans", &report.intervals)}) {
+        json &array = document[key] = json::array();
+        for (const ValueTotals &totals : *list)
+            array.push_back({{"name", totals.name}, {"asked", totals.requested}, {"served", totals.served}});
     }
-    json &fared = all["fared"] = json::array();
-    for (const Fared &one : report.fared)
-        fared.push_back({{"group", one.group},
-                         {"asked", sumOf(one.asked)},
-                         {"could", sumOf(one.could)},
-                         {"served", sumOf(one.served)}});
-    all["starved"] = report.starved;
-    all["rules_broken"] = report.broken;
-    return all.dump(2) + "\n";
+    json &groups = document["fared"] = json::array();
+    for (const GroupService &group : report.groups)
+        groups.push_back({{"group", group.name},
+                          {"asked", sum(group.requested)},
+                          {"could", sum(group.achievable)},
+                          {"served", sum(group.served)}});
+    document["starved"] = report.starvedGroups;
+    document["rules_broken"] = report.ruleViolations;
+    return document.dump(2) + "\n";
 }
 
 }  // namespace arrowstile::lab
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -1,3 +1,5 @@
+/// \file
+/// Formats the report of a simulated run.
 #pragma once
 
 #include <string>
@@ -6,12 +8,15 @@
 
 namespace arrowstile::lab {
 
-/// The same bytes for the same report: no clock, no host, no order of a hash table.
+/// Formats a report as text for people. All formats depend on the arguments only: equal reports give equal
+/// bytes, on every host and at any time.
 std::string plainReport(const Scenario &scenario, std::uint64_t seed, const Report &report);
+/// Formats a report as a JSON document.
 std::string jsonReport(const Scenario &scenario, std::uint64_t seed, const Report &report);
-/// The service ratio by spans of the run, for a plot.
-std::string spansCsv(const Report &report);
-/// Of sorted samples, by the nearest rank; 0 without any.
-double percentile(const std::vector<double> &sorted, double part);
+/// Formats the service ratio by time interval as CSV, for a plot.
+std::string intervalsCsv(const Report &report);
+/// Returns the percentile of sorted samples by the nearest-rank method; 0 without samples. `fraction` is 0.99
+/// for the 99th percentile.
+double percentile(const std::vector<double> &sorted, double fraction);
 
 }  // namespace arrowstile::lab
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -10,34 +10,40 @@
 namespace arrowstile::lab {
 namespace {
 
-/// A table of which every key has to be asked for: one that nobody knows is an error, not a silent default.
-class Reader {
+/// Reads a TOML table and remembers which keys were read. rejectUnknownKeys() then reports every other key,
+/// so that a misspelt key is an error and doesn't silently leave a default in force. All functions throw
+/// ScenarioError for a value that isn't as expected.
+class TableReader {
 public:
-    Reader(const std::string &file, const toml::table &table, std::string name)
+    /// `name` is the table's name in error messages; empty for the whole document.
+    TableReader(const std::string &file, const toml::table &table, std::string name)
         : file_(file), table_(table), name_(std::move(name)) {}
 
-    double number(const char *key, double otherwise, double least, double most) {
+    double number(const char *key, double defaultValue, double min, double max) {
         const toml::node *node = find(key);
-        if (node == nullptr) return otherwise;
+        if (node == nullptr) return defaultValue;
         const auto value = node->value<double>();
-        if (!node->is_number() || !value || !std::isfinite(*value) || *value < least || *value > most)
-            fail(*node, key, "a number from " + shown(least) + " to " + shown(most));
+        if (!node->is_number() || !value || !std::isfinite(*value) || *value < min || *value > max)
+            fail(*node, key,
+                 "a number from " + withoutTrailingZeros(min) + " to " + withoutTrailingZeros(max));
         return *value;
     }
 
-    unsigned whole(const char *key, unsigned otherwise, unsigned least, unsigned most) {
+    unsigned wholeNumber(const char *key, unsigned defaultValue, unsigned min, unsigned max) {
         const toml::node *node = find(key);
-        if (node == nullptr) return otherwise;
+        if (node == nullptr) return defaultValue;
         const auto value = node->is_integer() ? node->value<std::int64_t>() : std::nullopt;
-        if (!value || *value < least || *value > most)
-            fail(*node, key, "a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+        if (!value || *value < min || *value > max)
+            fail(*node, key, "a whole number from " + std::to_string(min) + " to " + std::to_string(max));
         return static_cast<unsigned>(*value);
     }
 
-    Duration ms(const char *key, double otherwise, double least, double most) {
-        return fromMs(number(key, otherwise, least, most));
+    /// A number of milliseconds.
+    Duration milliseconds(const char *key, double defaultValue, double min, double max) {
+        return fromMilliseconds(number(key, defaultValue, min, max));
     }
 
+    /// A required text that isn't empty.
     std::string text(const char *key) {
         const toml::node *node = find(key);
         const auto value = node != nullptr ? node->value<std::string>() : std::nullopt;
@@ -45,61 +51,66 @@
         return *value;
     }
 
+    /// A required text out of `choices`. Returns the value that belongs to it.
     template <class Value, std::size_t count>
     Value oneOf(const char *key, const std::array<std::pair<const char *, Value>, count> &choices) {
         const toml::node *node = find(key);
-        const auto value = node != nullptr ? node->value<std::string>() : std::nullopt;
-        std::string all;
-        for (const auto &[name, meaning] : choices) {
-            if (value == name) return meaning;
-            all += (all.empty() ? "" : ", ") + std::string(name);
+        const auto text = node != nullptr ? node->value<std::string>() : std::nullopt;
+        std::string allNames;
+        for (const auto &[name, value] : choices) {
+            if (text == name) return value;
+            allNames += (allNames.empty() ? "" : ", ") + std::string(name);
         }
-        fail(node != nullptr ? *node : table_, key, "one of " + all);
+        fail(node != nullptr ? *node : table_, key, "one of " + allNames);
     }
 
-    Reader table(const char *key) {
-        static const toml::table none;
+    /// A table within this one; an empty one if the key is missing.
+    TableReader table(const char *key) {
+        static const toml::table emptyTable;
         const toml::node *node = find(key);
         if (node != nullptr && !node->is_table()) fail(*node, key, "a table");
-        return {file_, node != nullptr ? *node->as_table() : none, key};
+        return {file_, node != nullptr ? *node->as_table() : emptyTable, key};
     }
 
-    std::vector<Reader> tables(const char *key, bool needed) {
-        std::vector<Reader> found;
+    /// An array of tables. If it isn't required, it may be missing.
+    std::vector<TableReader> tables(const char *key, bool isRequired) {
+        std::vector<TableReader> readers;
         const toml::node *node = find(key);
-        if (node == nullptr && !needed) return found;
-        const toml::array *list = node != nullptr ? node->as_array() : nullptr;
-        if (list == nullptr || list->empty() || !list->is_homogeneous(toml::node_type::table))
+        if (node == nullptr && !isRequired) return readers;
+        const toml::array *array = node != nullptr ? node->as_array() : nullptr;
+        if (array == nullptr || array->empty() || !array->is_homogeneous(toml::node_type::table))
             fail(node != nullptr ? *node : table_, key, "one or more tables [[" + std::string(key) + "]]");
-        for (const auto &one : *list) found.emplace_back(file_, *one.as_table(), key);
-        return found;
+        for (const auto &element : *array) readers.emplace_back(file_, *element.as_table(), key);
+        return readers;
     }
 
-    /// Nothing else may stand here.
-    void done() const {
+    /// Throws if the table has a key that was not read. Call it last.
+    void rejectUnknownKeys() const {
         for (const auto &[key, node] : table_) {
-            if (asked_.contains(std::string(key.str()))) continue;
-            std::string all;
-            for (const auto &one : asked_) all += (all.empty() ? "" : ", ") + one;
-            fail(node, std::string(key.str()).c_str(), "no such key; known here: " + all);
+            if (knownKeys_.contains(std::string(key.str()))) continue;
+            std::string allKeys;
+            for (const auto &known : knownKeys_) allKeys += (allKeys.empty() ? "" : ", ") + known;
+            fail(node, std::string(key.str()).c_str(), "no such key; known here: " + allKeys);
         }
     }
 
+    /// Throws the error that `key` was expected to be otherwise. `node` gives the line number.
     [[noreturn]] void fail(const toml::node &node, const char *key, const std::string &expected) const {
         throw ScenarioError(file_ + ":" + std::to_string(node.source().begin.line) + ": " +
                             (name_.empty() ? "" : name_ + ".") + key + ": expected " + expected);
     }
-    const toml::node &at(const char *key) const {
+    /// The node of a key, for fail(); the table itself if the key is missing.
+    const toml::node &nodeOf(const char *key) const {
         const toml::node *node = table_.get(key);
         return node != nullptr ? *node : table_;
     }
 
 private:
     const toml::node *find(const char *key) {
-        asked_.insert(key);
+        knownKeys_.insert(key);
         return table_.get(key);
     }
-    static std::string shown(double value) {
+    static std::string withoutTrailingZeros(double value) {
         std::string text = std::to_string(value);
         text.erase(text.find_last_not_of('0') + 1);
         if (text.back() == '.') text.pop_back();
@@ -109,16 +120,18 @@
     const std::string &file_;
     const toml::table &table_;
     std::string name_;
-    std::set<std::string> asked_;
+    std::set<std::string> knownKeys_;
 };
 
-constexpr std::array<std::pair<const char *, Effect>, 3> effects{{{"idempotent", Effect::idempotent},
-                                                                  {"tokened", Effect::tokened},
-                                                                  {"non-idempotent", Effect::nonIdempotent}}};
+constexpr std::array<std::pair<const char *, Effect>, 3> kEffects{
+    {{"idempotent", Effect::idempotent},
+     {"tokened", Effect::tokened},
+     {"non-idempotent", Effect::nonIdempotent}}};
 
-constexpr unsigned mostOfList = 4096;  // gateways or nodes
+/// Maximum number of gateways, and of nodes.
+constexpr unsigned kMaxFleetCount = 4096;
 
-constexpr std::array<std::pair<const char *, FaultKind>, 14> kinds{
+constexpr std::array<std::pair<const char *, FaultKind>, 14> kFaultKinds{
     {{"counter-refuses", FaultKind::counterRefuses},
      {"counter-silent", FaultKind::counterSilent},
      {"counter-slow", FaultKind::counterSlow},
@@ -134,100 +147,111 @@
      {"answers-spoilt", FaultKind::answersSpoilt},
      {"traffic-jump", FaultKind::trafficJump}}};
 
-void readFleet(Reader fleet, Scenario &s) {
-    s.facts.gatewayCount = fleet.whole("gateways", 3, 1, mostOfList);
-    s.nodes = fleet.whole("nodes", 14, 1, mostOfList);
-    s.length = fromMs(1000 * fleet.number("seconds", 20, 1, 3600));
-    s.callsASecond = fleet.number("calls_a_second", 200, 0.1, 20000);
-    s.set = fleet.whole("set", std::min(3u, s.facts.gatewayCount), 1, mostOfList);
-    if (s.set > s.facts.gatewayCount) fleet.fail(fleet.at("set"), "set", "no more than fleet.gateways");
-    s.uneven = fleet.number("uneven", 0, 0, 4);
-    s.retries = fleet.whole("retries", 1, 0, 10);
-    fleet.done();
+void readFleet(TableReader reader, Scenario &scenario) {
+    scenario.settings.gatewayCount = reader.wholeNumber("gateways", 3, 1, kMaxFleetCount);
+    scenario.nodeCount = reader.wholeNumber("nodes", 14, 1, kMaxFleetCount);
+    scenario.duration = fromMilliseconds(1000 * reader.number("seconds", 20, 1, 3600));
+    scenario.callsPerSecond = reader.number("calls_a_second", 200, 0.1, 20000);
+    scenario.gatewaySubsetSize =
+        reader.wholeNumber("set", std::min(3u, scenario.settings.gatewayCount), 1, kMaxFleetCount);
+    if (scenario.gatewaySubsetSize > scenario.settings.gatewayCount)
+        reader.fail(reader.nodeOf("set"), "set", "no more than fleet.gateways");
+    scenario.gatewaySubsetSkew = reader.number("uneven", 0, 0, 4);
+    scenario.maxRetries = reader.wholeNumber("retries", 1, 0, 10);
+    reader.rejectUnknownKeys();
 }
 
-void readNode(Reader node, Scenario &s) {
-    s.node.cores = node.whole("cores", 3, 1, 256);
-    s.node.speed = node.number("speed", 1, 0.01, 100);
-    s.node.waiting = node.whole("waiting", 60, 0, 100000);
-    s.node.coldShare = s.facts.coldCapacityFraction = node.number("cold_share", 1, 0.01, 1);
-    s.node.warmUp = s.facts.warmUp = node.ms("warm_up_ms", 0, 0, 600000);
-    s.node.fallMultiple = s.facts.coldOverloadFactor = node.number("fall_multiple", 2, 1, 100);
-    s.node.fallSpan = s.facts.coldOverloadWindow = node.ms("fall_ms", 2000, 1, 60000);
-    node.done();
+void readNode(TableReader reader, Scenario &scenario) {
+    scenario.node.cores = reader.wholeNumber("cores", 3, 1, 256);
+    scenario.node.speed = reader.number("speed", 1, 0.01, 100);
+    scenario.node.maxQueueLength = reader.wholeNumber("waiting", 60, 0, 100000);
+    scenario.node.coldCapacityFraction = scenario.settings.coldCapacityFraction =
+        reader.number("cold_share", 1, 0.01, 1);
+    scenario.node.warmUp = scenario.settings.warmUp = reader.milliseconds("warm_up_ms", 0, 0, 600000);
+    scenario.node.coldOverloadFactor = scenario.settings.coldOverloadFactor =
+        reader.number("fall_multiple", 2, 1, 100);
+    scenario.node.coldOverloadWindow = scenario.settings.coldOverloadWindow =
+        reader.milliseconds("fall_ms", 2000, 1, 60000);
+    reader.rejectUnknownKeys();
 }
 
-void readRoutes(std::vector<Reader> routes, Scenario &s) {
-    for (Reader &from : routes) {
+void readRoutes(std::vector<TableReader> readers, Scenario &scenario) {
+    for (TableReader &reader : readers) {
         RouteTraffic traffic;
         Route route;
-        traffic.name = from.text("name");
-        traffic.share = from.number("share", 1, 0.0001, 1e6);
-        traffic.workMs = from.number("work_ms", 100, 0.01, 60000);
-        route.effect = from.oneOf("effect", effects);
-        route.latencyTarget = from.ms("target_ms", 1000, 1, 600000);
-        route.clientTimeout = from.ms("timeout_ms", 4000, 1, 600000);
-        route.dedupWindow = from.ms("window_ms", 8000, 0, 600000);
-        route.billedValue = from.number("value", 1, 0, 1e6);
+        traffic.name = reader.text("name");
+        traffic.weight = reader.number("share", 1, 0.0001, 1e6);
+        traffic.meanWorkMs = reader.number("work_ms", 100, 0.01, 60000);
+        route.effect = reader.oneOf("effect", kEffects);
+        route.latencyTarget = reader.milliseconds("target_ms", 1000, 1, 600000);
+        route.clientTimeout = reader.milliseconds("timeout_ms", 4000, 1, 600000);
+        route.dedupWindow = reader.milliseconds("window_ms", 8000, 0, 600000);
+        route.billedValue = reader.number("value", 1, 0, 1e6);
         if (route.clientTimeout < route.latencyTarget)
-            from.fail(from.at("timeout_ms"), "timeout_ms", "no less than target_ms");
-        from.done();
-        s.routes.push_back(traffic);
-        s.facts.routes.push_back(route);
+            reader.fail(reader.nodeOf("timeout_ms"), "timeout_ms", "no less than target_ms");
+        reader.rejectUnknownKeys();
+        scenario.routes.push_back(traffic);
+        scenario.settings.routes.push_back(route);
     }
 }
 
-void readPlans(std::vector<Reader> plans, Scenario &s) {
-    for (Reader &from : plans) {
+void readPlans(std::vector<TableReader> readers, Scenario &scenario) {
+    for (TableReader &reader : readers) {
         PlanTraffic traffic;
         Plan plan;
-        traffic.name = from.text("name");
-        traffic.share = from.number("share", 1, 0.0001, 1e6);
-        traffic.customers = from.whole("customers", 10, 1, 200000);
-        traffic.mostUnits = from.whole("most_units", 1, 1, 1000);
-        traffic.skew = from.number("skew", 0, 0, 4);
-        plan.rate = from.number("rate", 0, 0, 1e6);
-        plan.burst = from.number("burst", 0, 0, 1e6);
-        plan.openCap = from.whole("open", 0, 0, 100000);
-        plan.price = from.number("price", 1, 0, 1e6);
+        traffic.name = reader.text("name");
+        traffic.weight = reader.number("share", 1, 0.0001, 1e6);
+        traffic.customerCount = reader.wholeNumber("customers", 10, 1, 200000);
+        traffic.maxUnits = reader.wholeNumber("most_units", 1, 1, 1000);
+        traffic.skew = reader.number("skew", 0, 0, 4);
+        plan.rate = reader.number("rate", 0, 0, 1e6);
+        plan.burst = reader.number("burst", 0, 0, 1e6);
+        plan.openCap = reader.wholeNumber("open", 0, 0, 100000);
+        plan.price = reader.number("price", 1, 0, 1e6);
         if ((plan.rate > 0) != (plan.burst > 0))
-            from.fail(from.at("rate"), "rate", "rate and burst, or neither");
-        if (plan.burst > 0 && plan.burst < traffic.mostUnits)
-            from.fail(from.at("burst"), "burst", "no less than most_units");
-        from.done();
-        s.facts.maxUnits = std::max(s.facts.plans.empty() ? 1 : s.facts.maxUnits, traffic.mostUnits);
-        s.plans.push_back(traffic);
-        s.facts.plans.push_back(plan);
+            reader.fail(reader.nodeOf("rate"), "rate", "rate and burst, or neither");
+        if (plan.burst > 0 && plan.burst < traffic.maxUnits)
+            reader.fail(reader.nodeOf("burst"), "burst", "no less than most_units");
+        reader.rejectUnknownKeys();
+        scenario.settings.maxUnits =
+            std::max(scenario.settings.plans.empty() ? 1 : scenario.settings.maxUnits, traffic.maxUnits);
+        scenario.plans.push_back(traffic);
+        scenario.settings.plans.push_back(plan);
     }
 }
 
-void readFaults(std::vector<Reader> faults, Scenario &s) {
-    for (Reader &from : faults) {
+void readFaults(std::vector<TableReader> readers, Scenario &scenario) {
+    for (TableReader &reader : readers) {
         Fault fault;
-        fault.kind = from.oneOf("kind", kinds);
-        fault.at = fromMs(1000 * from.number("at_s", 0, 0, 3600));
-        fault.length = fromMs(1000 * from.number("for_s", 1, 0, 3600));
-        fault.part = from.number("part", 0, 0, 1);
-        const bool late = fault.kind == FaultKind::listsLate || fault.kind == FaultKind::connectsLate;
-        const bool share = fault.kind == FaultKind::answersSpoilt || fault.kind == FaultKind::nodesFail;
-        fault.size = from.number("size", 1, 0, late ? 60000 : share ? 1 : 1000);
-        if (fault.at > s.length) from.fail(from.at("at_s"), "at_s", "a time within fleet.seconds");
-        const bool ofMany = fault.kind >= FaultKind::nodesCrash && fault.kind <= FaultKind::connectsLate;
-        const bool gateways = fault.kind == FaultKind::gatewaysKilled || fault.kind == FaultKind::listsLate;
-        const unsigned count = gateways ? s.facts.gatewayCount : s.nodes;
-        if (ofMany && fault.part * count < 0.5)
-            from.fail(from.at("part"), "part", "a part of at least one of the " + std::to_string(count));
-        if (!ofMany && fault.part != 0)
-            from.fail(from.at("part"), "part", "no part: this kind is of the whole");
-        from.done();
-        s.faults.push_back(fault);
+        fault.kind = reader.oneOf("kind", kFaultKinds);
+        fault.startsAt = fromMilliseconds(1000 * reader.number("at_s", 0, 0, 3600));
+        fault.duration = fromMilliseconds(1000 * reader.number("for_s", 1, 0, 3600));
+        fault.fraction = reader.number("part", 0, 0, 1);
+        const bool isDelay = fault.kind == FaultKind::listsLate || fault.kind == FaultKind::connectsLate;
+        const bool isFraction = fault.kind == FaultKind::answersSpoilt || fault.kind == FaultKind::nodesFail;
+        fault.magnitude = reader.number("size", 1, 0, isDelay ? 60000 : isFraction ? 1 : 1000);
+        if (fault.startsAt > scenario.duration)
+            reader.fail(reader.nodeOf("at_s"), "at_s", "a time within fleet.seconds");
+        const bool concernsFraction =
+            fault.kind >= FaultKind::nodesCrash && fault.kind <= FaultKind::connectsLate;
+        const bool concernsGateways =
+            fault.kind == FaultKind::gatewaysKilled || fault.kind == FaultKind::listsLate;
+        const unsigned count = concernsGateways ? scenario.settings.gatewayCount : scenario.nodeCount;
+        // Half of one is rounded up to one; less would concern none.
+        if (concernsFraction && fault.fraction * count < 0.5)
+            reader.fail(reader.nodeOf("part"), "part",
+                        "a part of at least one of the " + std::to_string(count));
+        if (!concernsFraction && fault.fraction != 0)
+            reader.fail(reader.nodeOf("part"), "part", "no part: this kind is of the whole");
+        reader.rejectUnknownKeys();
+        scenario.faults.push_back(fault);
     }
 }
 
 }  // namespace
 
 Scenario readScenario(std::string_view text, const std::string &file) {
-    const toml::table all = [&] {
+    const toml::table document = [&] {
         try {
             return toml::parse(text);
         } catch (const toml::parse_error &error) {
@@ -235,37 +259,39 @@
                                 std::string(error.description()));
         }
     }();
-    Scenario s;
-    Reader top(file, all, "");
-    s.name = top.text("name");
-    readFleet(top.table("fleet"), s);
-    readNode(top.table("node"), s);
-    Reader network = top.table("network");
-    s.oneWay = network.ms("one_way_ms", 1, 0.01, 1000);
-    s.listLate = network.ms("list_late_ms", 500, 0, 60000);
-    network.done();
-    Reader counter = top.table("counter");
-    s.counter.perSecond = counter.number("calls_a_second", 1000, 1, 1e6);
-    s.counter.waiting = counter.whole("waiting", 100, 1, 100000);
-    s.counter.parts = counter.whole("parts", 1, 1, 64);
-    s.facts.counterTimeout = counter.ms("timeout_ms", 50, 1, 10000);
-    counter.done();
-    readRoutes(top.tables("route", true), s);
-    readPlans(top.tables("plan", true), s);
-    readFaults(top.tables("fault", false), s);
-    Reader expect = top.table("expect");
-    s.leastShare = expect.number("least_share", 0, 0, 1);
-    expect.done();
-    top.done();
-    s.facts.mayUseCounter = s.facts.mayCancel = s.facts.maySendRetryAfter = true;
-    s.facts.maxTries = 5;
-    s.facts.maxRetryAfter = std::chrono::milliseconds(1000);
-    s.facts.connectTimeout = std::chrono::milliseconds(250);
-    s.facts.answerSlack = std::chrono::milliseconds(50);
-    s.facts.drainGrace = std::chrono::milliseconds(250);
-    s.facts.loadColumns = {LoadMetric::queueLength};
-    s.facts.loadReportMode = LoadReportMode::inReplies;
-    return s;
+    Scenario scenario;
+    TableReader top(file, document, "");
+    scenario.name = top.text("name");
+    readFleet(top.table("fleet"), scenario);
+    readNode(top.table("node"), scenario);
+    TableReader network = top.table("network");
+    scenario.oneWayLatency = network.milliseconds("one_way_ms", 1, 0.01, 1000);
+    scenario.listDelay = network.milliseconds("list_late_ms", 500, 0, 60000);
+    network.rejectUnknownKeys();
+    TableReader counter = top.table("counter");
+    scenario.counter.requestsPerSecond = counter.number("calls_a_second", 1000, 1, 1e6);
+    scenario.counter.maxQueueLength = counter.wholeNumber("waiting", 100, 1, 100000);
+    scenario.counter.shardCount = counter.wholeNumber("parts", 1, 1, 64);
+    scenario.settings.counterTimeout = counter.milliseconds("timeout_ms", 50, 1, 10000);
+    counter.rejectUnknownKeys();
+    readRoutes(top.tables("route", true), scenario);
+    readPlans(top.tables("plan", true), scenario);
+    readFaults(top.tables("fault", false), scenario);
+    TableReader expect = top.table("expect");
+    scenario.minServedFraction = expect.number("least_share", 0, 0, 1);
+    expect.rejectUnknownKeys();
+    top.rejectUnknownKeys();
+    // The settings that scenarios can't change.
+    scenario.settings.mayUseCounter = scenario.settings.mayCancel = scenario.settings.maySendRetryAfter =
+        true;
+    scenario.settings.maxTries = 5;
+    scenario.settings.maxRetryAfter = std::chrono::milliseconds(1000);
+    scenario.settings.connectTimeout = std::chrono::milliseconds(250);
+    scenario.settings.answerSlack = std::chrono::milliseconds(50);
+    scenario.settings.drainGrace = std::chrono::milliseconds(250);
+    scenario.settings.loadColumns = {LoadMetric::queueLength};
+    scenario.settings.loadReportMode = LoadReportMode::inReplies;
+    return scenario;
 }
 
 }  // namespace arrowstile::lab
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -1,3 +1,5 @@
+/// \file
+/// Reads scenario files.
 #pragma once
 
 #include <stdexcept>
@@ -8,12 +10,14 @@
 
 namespace arrowstile::lab {
 
-/// A scenario that can't be used: "file:line: key: what was expected".
+/// A scenario file can't be used. The message is "file:line: key: expected ...", or the TOML parser's message
+/// after "file:line: ".
 struct ScenarioError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// Checks the whole document before anything starts; `file` is named in errors only.
+/// Parses and checks a scenario (TOML). `file` is the name of the file, for error messages only. Throws
+/// ScenarioError if the text isn't TOML, or if a key is unknown, missing or outside its bounds.
 Scenario readScenario(std::string_view text, const std::string &file);
 
 }  // namespace arrowstile::lab
