--- a/src/lab/model/event_queue.hpp
+++ b/src/lab/model/event_queue.hpp
@@ -29,8 +29,8 @@
     /// virtual clock to `end`.
     void runUntil(Timestamp end) {
         while (!pending_.empty() && pending_.top().due <= end) {
-            // top() is const, but moving from it is safe: pop() below removes the entry before any
-            // comparison.
+            // top() is const. Moving the action out is safe, since it doesn't change `due` and `sequence`,
+            // by which pop() compares.
             const ScheduledAction next = std::move(const_cast<ScheduledAction &>(pending_.top()));
             pending_.pop();
             now_ = next.due;
@@ -58,7 +58,7 @@
 
 /// Seeded random numbers. The generator is the standard library's. The distributions are computed here,
 /// because the standard doesn't define the sequence that its distributions produce, and a seed has to give
-/// the same report with every standard library. The longer functions are defined in node.cpp.
+/// the same report with every standard library. drawExponential and drawSkewedIndex are defined in node.cpp.
 class RandomSource {
 public:
     explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
--- a/src/lab/model/fleet.cpp
+++ b/src/lab/model/fleet.cpp
@@ -13,12 +13,13 @@
 constexpr Duration kReportInterval = seconds(5);
 /// Length of the intervals of GroupService.
 constexpr Duration kServiceInterval = seconds(1);
-/// Routes and plans with fewer achievable calls are too small to be checked for starvation.
-constexpr double kMinStarvationCalls = 50;
+/// Routes and plans with fewer achievable requests are too small to be checked for starvation.
+constexpr double kMinStarvationRequests = 50;
 /// How long a run goes on after the traffic has ended. Longer than the client timeouts of the shipped
 /// scenarios.
 constexpr Duration kSettleTime = seconds(6);
-/// Clients keep sending calls to a killed gateway. A client notices that its call has failed after this time.
+/// Clients keep sending calls to a killed gateway. A client notices after this time that its call has failed,
+/// and retries.
 constexpr Duration kDeadGatewayTimeout = milliseconds(1500);
 
 /// A customer, with the bucket of its quota as the reference limiter keeps it.
@@ -28,10 +29,10 @@
     unsigned subsetStart = 0;
     double level = 0;  // of the bucket, units
     Timestamp refilledAt{};
-    int openTries = 0;
+    int openTries = 0;  // over all gateways
 };
 
-/// What a client wants. It is sent as one call, and again as a new call for each of the client's retries.
+/// A client's request. It is sent as a call, and as a further call for each of the client's retries.
 struct ClientRequest {
     Timestamp startedAt{};
     unsigned route = 0;
@@ -43,16 +44,17 @@
     bool isProxied = false;  // one of its calls was, in time or late
 };
 
+/// One sending of a client's request to a gateway.
 struct Call {
     std::shared_ptr<ClientRequest> request;
     unsigned gateway = 0;
     Timestamp sentAt{};
     Timestamp deadline{};
     bool isOver = false;
-    bool isReceived = false;
+    bool isReceived = false;  // by its gateway
     unsigned tryCount = 0;
     std::uint64_t openTry = 0;  // id of the try that is out; 0: none
-    std::size_t node = 0;
+    std::size_t node = 0;       // index of the node of the latest try
 };
 
 struct Gateway {
@@ -119,9 +121,9 @@
             report_.intervals.push_back({std::to_string(at / seconds(1)) + " s", 0, 0});
     }
 
-    /// Computes what an ideal policy would have served in an interval that has just ended: if more work was
-    /// requested than the nodes can do now, the same fraction of each group's calls. The fraction is that of
-    /// the work which the nodes can do.
+    /// Computes what an ideal policy would have served in the interval that has just ended. If the requests
+    /// needed more work than the nodes can do, every group is served the same fraction of its requests, for
+    /// which the nodes' capacity suffices. That capacity is taken at the end of the interval.
     void computeAchievable(std::size_t interval) {
         double availableMs = 0;
         for (const FleetNode &one : nodes_)
@@ -183,7 +185,7 @@
     void deliver(unsigned gateway, const Event &event) {
         if (!gateways_[gateway].isAlive) return;
         for (const Action &action : gateways_[gateway].engine->handle(events_.now(), event))
-            std::visit([&](const auto &what) { perform(gateway, what); }, action);
+            std::visit([&](const auto &alternative) { perform(gateway, alternative); }, action);
     }
 
     /// Delivers an event after a delay. If the gateway is killed meanwhile, the event is lost.
@@ -202,6 +204,8 @@
                          });
     }
 
+    /// The counter handles the request after the way there. Its reply counts as timed out if it would reach
+    /// the gateway too late.
     void perform(unsigned gateway, const AddToCount &action) {
         const unsigned incarnation = gateways_[gateway].incarnation;
         const Timestamp sentAt = events_.now();
@@ -231,6 +235,8 @@
     /// Actions without a counterpart in the simulation have no effect.
     void perform(unsigned, const auto &) {}
 
+    /// Sends a job to the node. The try ends by the first of: its outcome at the node, a failed connection,
+    /// its deadline.
     void perform(unsigned gateway, const SendTry &action) {
         Call &call = calls_.at(action.call.value);
         const std::uint64_t tryId = ++lastTryId_;
@@ -242,7 +248,7 @@
         openTries_[tryId] = {action.call.value, gateway,       number,
                              action.worker,     events_.now(), gateways_[gateway].incarnation};
         ClientRequest &request = *call.request;
-        if (number.value == 0) takeFromQuota(request);
+        if (number.value == 0) takeFromQuota(request);  // further tries of a call cost no units
         const RouteTraffic &traffic = scenario_.routes[request.route];
         const Route &route = scenario_.settings.routes[request.route];
         const Job job{JobId{tryId}, action.call.value, random_.drawExponential(traffic.meanWorkMs),
@@ -283,7 +289,7 @@
         --customers_[call.request->customer].openTries;
         record(TraceEventKind::tryEnded, ended.gateway, ended.call, ended.worker.value);
         if (call.gateway != ended.gateway || gateways_[ended.gateway].incarnation != ended.incarnation)
-            return;
+            return;  // the gateway was killed meanwhile
         const bool isAnswered = outcome == Outcome::answered;
         TryEnded event{
             CallId{ended.call},        ended.number, ended.worker, outcome, events_.now() - ended.sentAt,
@@ -324,6 +330,7 @@
             FleetNode &fleetNode = nodes_[index];
             if (fleetNode.completionTimer != timer) return;
             for (const JobResult &result : fleetNode.node->takeCompleted(events_.now())) {
+                // The job's try may have timed out meanwhile; the call has run all the same.
                 const auto found = openTries_.find(result.id.value);
                 if (result.hasRun)
                     record(TraceEventKind::callRun, 0,
@@ -370,7 +377,7 @@
         });
     }
 
-    // ---- Faults: a fault of some nodes or gateways concerns the first ones ----
+    // ---- Faults ----
 
     /// Calls `function` with each index below the given fraction of `count`.
     template <class Function>
@@ -654,7 +661,8 @@
         return true;
     }
 
-    /// Takes the units of a call that a gateway sends to a node, or reports them as beyond the quota.
+    /// Takes the units of a call that a gateway sends to a node. If the quota doesn't suffice, nothing is
+    /// taken and the units are reported as beyond the quota.
     void takeFromQuota(const ClientRequest &request) {
         const bool hasRoom = hasQuotaLeft(request);
         Customer &customer = customers_[request.customer];
@@ -680,7 +688,7 @@
                                                  std::to_string(one.entry.worker.value) + " fell over");
         if (scenario_.minServedFraction > 0)
             report_.starvedGroups = findStarvedGroups(report_.groups, scenario_.minServedFraction,
-                                                      kMinStarvationCalls, kServiceInterval);
+                                                      kMinStarvationRequests, kServiceInterval);
         report_.counterRequests = counter_.requestCount();
         report_.counterRejected = counter_.rejectedCount();
         report_.events = events_.processedCount();
--- a/src/lab/model/fleet.hpp
+++ b/src/lab/model/fleet.hpp
@@ -15,7 +15,7 @@
 
 /// Kinds of injected faults, named as in scenario files (Fault::magnitude is called `size` there). The kinds
 /// from nodesCrash to connectsLate concern a fraction of the nodes or gateways; the order of the values
-/// matters to readScenario.
+/// matters to readScenario. A fault of a fraction always concerns the first nodes or gateways.
 enum class FaultKind : std::uint8_t {
     counterRefuses,  ///< the counter rejects all requests
     counterSilent,   ///< the counter doesn't reply
@@ -25,8 +25,7 @@
     nodesSilent,     ///< nodes accept connections, but don't reply
     nodesSlow,       ///< jobs take longer; magnitude: factor
     nodesFail,       ///< jobs end as errored after they ran; magnitude: fraction of the jobs
-    nodesReplaced,   ///< one after the other, evenly over the fault's duration, nodes drain and cold ones
-                     ///< start
+    nodesReplaced,   ///< nodes drain and cold ones start, one after the other over the fault's duration
     gatewaysKilled,  ///< gateways are killed, and start again at the end of the fault
     listsLate,       ///< gateways are told late of changed nodes; magnitude: additional delay, ms
     connectsLate,    ///< connecting to nodes takes time, uniform from 0; magnitude: its upper bound, ms
@@ -59,7 +58,7 @@
     double skew = 0;      ///< the n-th customer sends about 1 / n^skew times as many calls as the first
 };
 
-/// Everything that a run needs. readScenario checks it; simulate relies on that.
+/// Everything that a run needs. readScenario checks the values; simulate does not.
 struct Scenario {
     std::string name;
     EngineSettings settings;  ///< of every gateway; the run sets gatewayIndex
@@ -73,8 +72,8 @@
     double callsPerSecond = 200;                            ///< without clients' retries
     unsigned gatewaySubsetSize = 3;  ///< gateways over which a customer's calls are spread
     unsigned maxRetries = 1;         ///< of a client, after the first call
-    double gatewaySubsetSkew =
-        0;  ///< the n-th gateway of a subset gets about 1 / n^skew of the first's calls
+    /// The n-th gateway of a customer's subset gets about 1 / n^skew times as many of its calls as the first.
+    double gatewaySubsetSkew = 0;
     Duration duration = std::chrono::seconds(20);  ///< of the traffic
     std::vector<Fault> faults;
     /// Each route and plan must be served this fraction of what is achievable (see GroupService). 0: not
@@ -93,7 +92,7 @@
 struct Report {
     std::uint64_t calls = 0;       ///< including clients' retries
     std::uint64_t firstCalls = 0;  ///< without clients' retries
-    std::uint64_t served = 0;      ///< calls proxied within the latency target
+    std::uint64_t served = 0;      ///< calls proxied within the latency target, since the client's first call
     std::uint64_t late = 0;        ///< calls proxied after it
     std::uint64_t rateLimited = 0;
     std::uint64_t errored = 0;
--- a/src/lab/model/rules.hpp
+++ b/src/lab/model/rules.hpp
@@ -42,10 +42,12 @@
 /// Checks a trace, whose events must be in order of time, and returns one line for each violation. It uses no
 /// state of the gateways. `end` is the time at which the run ended. Each line starts with the name of the
 /// rule:
-/// - "answers": each call gets exactly one final answer, and in time. Calls of a gateway that was killed may
-///   stay unanswered or be answered late.
+/// - "answers": each call gets exactly one final answer, within the client's timeout plus answerSlack. Calls
+/// of
+///   a gateway that was killed may stay unanswered or be answered late.
 /// - "effects": a non-idempotent call runs at most once.
-/// - "drains": no try is sent to a node of which the gateway was told that it is draining or gone.
+/// - "drains": no try is sent to a node later than drainGrace after the gateway was told that the node is
+///   draining or gone.
 /// - "one try": the tries of a call don't overlap.
 std::vector<std::string> findRuleViolations(const std::vector<TraceEvent> &trace, const RuleLimits &limits,
                                             Timestamp end);
--- a/src/lab/model/starvation.cpp
+++ b/src/lab/model/starvation.cpp
@@ -8,12 +8,12 @@
 double sum(const std::vector<double> &values) { return std::accumulate(values.begin(), values.end(), 0.0); }
 
 std::vector<std::string> findStarvedGroups(const std::vector<GroupService> &groups, double minFraction,
-                                           double minCalls, Duration interval) {
+                                           double minRequests, Duration interval) {
     std::vector<std::string> found;
     for (const GroupService &group : groups) {
         const double achievable = sum(group.achievable);
         const double served = sum(group.served);
-        if (achievable < minCalls || served >= minFraction * achievable) continue;
+        if (achievable < minRequests || served >= minFraction * achievable) continue;
         std::size_t worst = 0;
         double maxMissing = -1;
         for (std::size_t i = 0; i < group.achievable.size(); ++i) {
--- a/src/lab/model/starvation.hpp
+++ b/src/lab/model/starvation.hpp
@@ -9,8 +9,9 @@
 
 namespace arrowstile::lab {
 
-/// How the calls of one group (a route or a plan) were served over a run: numbers of calls within quotas, one
-/// element per time interval.
+/// How the requests of clients in one group (a route or a plan) were served over a run. The vectors hold
+/// numbers of requests within quotas, one element per time interval; a request counts in the interval in
+/// which it started.
 struct GroupService {
     std::string name;
     std::vector<double> requested;
@@ -22,9 +23,10 @@
 double sum(const std::vector<double> &values);
 
 /// Returns a line for each group that was served less than `minFraction` of what was achievable. The line
-/// also names the interval with the largest difference. Groups with fewer than `minCalls` achievable calls
-/// are skipped, since their result is mostly chance. `interval` is the length of the intervals.
+/// also names the interval in which the most achievable requests were not served. Groups with fewer than
+/// `minRequests` achievable requests are skipped, since their result is mostly chance. `interval` is the
+/// length of the intervals.
 std::vector<std::string> findStarvedGroups(const std::vector<GroupService> &groups, double minFraction,
-                                           double minCalls, Duration interval);
+                                           double minRequests, Duration interval);
 
 }  // namespace arrowstile::lab
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -10,9 +10,9 @@
 namespace arrowstile::lab {
 namespace {
 
-/// Reads a TOML table and remembers which keys were read. rejectUnknownKeys() then reports every other key,
-/// so that a misspelt key is an error and doesn't silently leave a default in force. All functions throw
-/// ScenarioError for a value that isn't as expected.
+/// Reads the values of a TOML table and records the keys that were read. rejectUnknownKeys() then rejects
+/// every other key, so that a misspelt key is an error and doesn't silently leave a default in force. All
+/// functions throw ScenarioError for a value that isn't as expected.
 class TableReader {
 public:
     /// `name` is the table's name in error messages; empty for the whole document.
