--- a/src/lab/model/fleet.cpp
+++ b/src/lab/model/fleet.cpp
@@ -126,8 +126,9 @@
     /// which the nodes' capacity suffices. That capacity is taken at the end of the interval.
     void computeAchievable(std::size_t interval) {
         double availableMs = 0;
-        for (const FleetNode &one : nodes_)
-            availableMs += one.node->availableCapacity(events_.now()) * toMilliseconds(kServiceInterval);
+        for (const FleetNode &fleetNode : nodes_)
+            availableMs +=
+                fleetNode.node->availableCapacity(events_.now()) * toMilliseconds(kServiceInterval);
         const double fraction =
             requestedWorkMs_[interval] > availableMs ? availableMs / requestedWorkMs_[interval] : 1;
         for (GroupService &group : report_.groups)
@@ -165,8 +166,8 @@
 
     WorkerListUpdated currentWorkerList(WorkerListKind kind) const {
         WorkerListUpdated list{kind, 1, {}};
-        for (const FleetNode &one : nodes_)
-            if (one.entry.state != WorkerState::gone) list.workers.push_back(one.entry);
+        for (const FleetNode &fleetNode : nodes_)
+            if (fleetNode.entry.state != WorkerState::gone) list.workers.push_back(fleetNode.entry);
         return list;
     }
 
@@ -337,7 +338,7 @@
                            found != openTries_.end() ? found->second.call : callByTry_[result.id.value],
                            fleetNode.entry.worker.value);
                 const bool isAnswered =
-                    result.outcome == JobOutcome::answered && random_.drawUniform() >= spoiltFraction_;
+                    result.outcome == JobOutcome::answered && random_.drawUniform() >= spoiltAnswerFraction_;
                 const Outcome outcome = isAnswered ? Outcome::answered : Outcome::errored;
                 if (!fleetNode.node->isSilent()) scheduleTryEnd(result.id, outcome, result.queueLength);
             }
@@ -434,7 +435,7 @@
                 slowConnectNodeCount_ = roundedPart(fault.fraction, nodes_.size());
                 maxConnectDelayMs_ = fault.magnitude;
                 break;
-            case FaultKind::answersSpoilt: spoiltFraction_ = fault.magnitude; break;
+            case FaultKind::answersSpoilt: spoiltAnswerFraction_ = fault.magnitude; break;
             case FaultKind::trafficJump: trafficFactor_ = fault.magnitude; break;
         }
     }
@@ -466,7 +467,7 @@
                 break;
             case FaultKind::listsLate: lateListGatewayCount_ = 0; break;
             case FaultKind::connectsLate: maxConnectDelayMs_ = 0; break;
-            case FaultKind::answersSpoilt: spoiltFraction_ = 0; break;
+            case FaultKind::answersSpoilt: spoiltAnswerFraction_ = 0; break;
             case FaultKind::trafficJump: trafficFactor_ = 1; break;
             case FaultKind::counterEmpty:
             case FaultKind::nodesReplaced: break;
@@ -682,10 +683,10 @@
     Report finishReport() {
         report_.ruleViolations = findRuleViolations(
             trace_, {scenario_.settings.answerSlack, scenario_.settings.drainGrace}, events_.now());
-        for (const FleetNode &one : nodes_)
-            if (one.node->hasCrashedCold())
+        for (const FleetNode &fleetNode : nodes_)
+            if (fleetNode.node->hasCrashedCold())
                 report_.ruleViolations.push_back("cold nodes: node " +
-                                                 std::to_string(one.entry.worker.value) + " fell over");
+                                                 std::to_string(fleetNode.entry.worker.value) + " fell over");
         if (scenario_.minServedFraction > 0)
             report_.starvedGroups = findStarvedGroups(report_.groups, scenario_.minServedFraction,
                                                       kMinStarvationRequests, kServiceInterval);
@@ -723,7 +724,7 @@
     std::uint64_t lastTryId_ = 0;
     // State of the faults trafficJump, answersSpoilt, listsLate and connectsLate.
     double trafficFactor_ = 1;
-    double spoiltFraction_ = 0;
+    double spoiltAnswerFraction_ = 0;
     double extraListDelayMs_ = 0;
     double maxConnectDelayMs_ = 0;
     unsigned lateListGatewayCount_ = 0;
--- a/src/lab/model/node.hpp
+++ b/src/lab/model/node.hpp
@@ -52,7 +52,8 @@
 };
 
 /// A worker with a bounded first-in-first-out queue in front of its cores. The caller submits jobs and
-/// collects those that have ended. It does no I/O and reads no clock; the times passed in must not decrease.
+/// collects those that have ended. It does no I/O and reads no clock, so that it can be driven by virtual
+/// time as well as by real sockets. The times passed in must not decrease.
 class Node {
 public:
     /// `seed` initializes the random choice of jobs that fail (see setFailureFraction).
--- a/src/lab/model/rules.hpp
+++ b/src/lab/model/rules.hpp
@@ -43,8 +43,7 @@
 /// state of the gateways. `end` is the time at which the run ended. Each line starts with the name of the
 /// rule:
 /// - "answers": each call gets exactly one final answer, within the client's timeout plus answerSlack. Calls
-/// of
-///   a gateway that was killed may stay unanswered or be answered late.
+///   of a killed gateway may stay unanswered or be answered late.
 /// - "effects": a non-idempotent call runs at most once.
 /// - "drains": no try is sent to a node later than drainGrace after the gateway was told that the node is
 ///   draining or gone.
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -8,8 +8,8 @@
 
 namespace arrowstile::lab {
 
-/// Formats a report as text for people. All formats depend on the arguments only: equal reports give equal
-/// bytes, on every host and at any time.
+/// Formats a report as text for people. In all formats equal reports give equal bytes: they contain nothing
+/// of the clock or the host, and nothing in the order of a hash table.
 std::string plainReport(const Scenario &scenario, std::uint64_t seed, const Report &report);
 /// Formats a report as a JSON document.
 std::string jsonReport(const Scenario &scenario, std::uint64_t seed, const Report &report);
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -16,8 +16,9 @@
     using std::runtime_error::runtime_error;
 };
 
-/// Parses and checks a scenario (TOML). `file` is the name of the file, for error messages only. Throws
-/// ScenarioError if the text isn't TOML, or if a key is unknown, missing or outside its bounds.
+/// Parses a scenario (TOML) and checks the whole of it, before anything is simulated. `file` is the name of
+/// the file, for error messages only. Throws ScenarioError if the text isn't TOML, or if a key is unknown,
+/// missing or outside its bounds.
 Scenario readScenario(std::string_view text, const std::string &file);
 
 }  // namespace arrowstile::lab
--- a/tests/test_lab.cpp
+++ b/tests/test_lab.cpp
@@ -39,6 +39,7 @@
     return waiting / (sum + waiting);
 }
 
+/// Mean and 95th percentile, in milliseconds.
 struct LatencyStats {
     double mean, p95;
 };
@@ -79,10 +80,10 @@
             CAPTURE(cores);
             CAPTURE(utilization);
             const double mean = 100, c = cores, waitProbability = erlangC(cores, utilization * c);
-            // In M/M/c the time that a waiting job waits is exponential with this rate, per millisecond.
+            // In M/M/c the wait of a job that has to wait is exponential with this rate, per millisecond.
             const double waitRate = (1 - utilization) * c / mean;
-            // Probability that the latency (waiting and running) in M/M/c is longer than t.
-            const auto isLongerThan = [&](double t) {
+            // Probability that the latency (waiting and running) in M/M/c is above t.
+            const auto probabilityAbove = [&](double t) {
                 const double rateDifference = waitRate - 1 / mean;
                 const double integral = std::abs(rateDifference) < 1e-9
                                             ? t
@@ -90,7 +91,8 @@
                 return std::exp(-t / mean) * (1 + waitProbability / mean * integral);
             };
             double low = 0, high = 100 * mean;  // around the 95th percentile, found by bisection
-            while (high - low > 0.01) (isLongerThan((low + high) / 2) > 0.05 ? low : high) = (low + high) / 2;
+            while (high - low > 0.01)
+                (probabilityAbove((low + high) / 2) > 0.05 ? low : high) = (low + high) / 2;
             const LatencyStats exponential = measureLatency(cores, utilization, mean, true, jobs);
             CHECK(exponential.mean == doctest::Approx(mean + waitProbability / waitRate).epsilon(0.1));
             CHECK(exponential.p95 == doctest::Approx(low).epsilon(0.1));
@@ -104,8 +106,7 @@
     }
 }
 
-TEST_CASE(
-    "node: rejects jobs beyond its queue and while draining, and answers repeated tokened calls unrun") {
+TEST_CASE("node: rejects jobs beyond its queue or while draining, and runs no repeats of tokened calls") {
     Node node({.cores = 1, .maxQueueLength = 1}, {}, 1);
     const auto job = [](std::uint64_t id, std::uint64_t call) {
         return Job{JobId{id}, call, 100, true, milliseconds(1000)};
@@ -283,8 +284,7 @@
     CHECK(!simulate(readScenario(strict, "f"), 1).starvedGroups.empty());
 }
 
-TEST_CASE(
-    "shipped scenarios break no rule, equal seeds give equal reports, and different seeds different ones") {
+TEST_CASE("shipped scenarios break no rule, and two runs give equal reports for equal seeds only") {
     for (const char *name : {"quiet.toml", "two-failures.toml", "all-slow.toml"}) {
         CAPTURE(std::string(name));
         const Scenario scenario = readScenario(exampleScenario(name), name);
