--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -550,7 +550,7 @@
 }
 
 // A signal handler suspends the gateway's thread for 700 ms, as if the machine had stood still. 100 ms after
-// its begin the reply to a call with a timeout of 500 ms arrives, and a new call with a timeout of 300 ms;
+// that began, the reply to a call with a timeout of 500 ms arrives, and a new call with a timeout of 300 ms;
 // both timeouts have passed when the thread goes on.
 TEST_CASE("after the machine stood still, a reply that came in time counts and an expired call is not sent") {
     GatewayFixture fixture;
