--- a/Makefile
+++ b/Makefile
@@ -7,7 +7,7 @@
 	cmake -B build -DCMAKE_BUILD_TYPE=Release
 	cmake --build build -j$(JOBS)
 
-# Builds the laboratory, which needs two libraries that the daemon does not: CLI11 and toml++.
+# Builds the laboratory, which needs two libraries that the gateway program does not: CLI11 and toml++.
 lab:
 	cmake -B build-lab -DCMAKE_BUILD_TYPE=Release -DARROWSTILE_LAB=ON
 	cmake --build build-lab -j$(JOBS) --target arrowstile-lab
@@ -20,7 +20,7 @@
 lint:
 	clang-format --dry-run --Werror $$(git ls-files '*.cpp' '*.hpp')
 
-# Runs the daemon against the servers of examples/toy_backend.py, which end when it does.
+# Runs the gateway program against the servers of examples/toy_backend.py, which end when it does.
 run: build
 	python3 examples/toy_backend.py & toy=$$!; trap "kill $$toy" EXIT; EDGE_CONFIG=examples/start.json build/arrowstile
 
--- a/include/arrowstile/actions.hpp
+++ b/include/arrowstile/actions.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Actions: everything that the decision engine asks for. DecisionEngine::handle returns them, and the caller
-/// carries them out in that order. What comes of them is passed back as events (see events.hpp).
+/// Actions: the output of the decision engine. DecisionEngine::handle returns them, and the caller carries
+/// them out in that order. Their results are passed back as events (see events.hpp).
 ///
 /// Each API call gets one final answer. It is proxied, which is the answered try itself, or rate-limited
 /// (AnswerRateLimited), or errored (AnswerErrored).
@@ -33,7 +33,7 @@
     CallId call;
 };
 
-/// Gives up a try that is out. It ends as `cancelled`, and the worker may still run the call.
+/// Gives up a try in flight. It ends as `cancelled`, and the worker may still run the call.
 struct CancelTry {
     CallId call;
     TryNumber tryNumber;
@@ -58,7 +58,7 @@
 
 /// Sends a message to other gateways, without any guarantee of delivery. Not produced by the current engine.
 struct SendPeerMessage {
-    std::optional<GatewayIndex> peer;  ///< index into the daemon's list of peers; nullopt: all peers
+    std::optional<GatewayIndex> peer;  ///< index into the gateway program's list of peers; nullopt: all
     std::vector<std::byte> bytes;
 };
 
@@ -83,6 +83,7 @@
     std::string text;
 };
 
+/// Any one action.
 using Action = std::variant<SendTry, AnswerRateLimited, AnswerErrored, CancelTry, SetTimer, ProbeWorker,
                             CloseIdleConnections, SendPeerMessage, AddToCount, WatchWorkerList,
                             FetchWorkerList, WriteLog>;
--- a/include/arrowstile/engine_settings.hpp
+++ b/include/arrowstile/engine_settings.hpp
@@ -70,7 +70,8 @@
     double ceilingTolerance = 0;  ///< setting `tolerance`; not used by the current engine
 };
 
-/// What the engine is told at its start. Nothing in here is measured or tuned at run time.
+/// The settings of one gateway's engine. They stay as they are from its start on; nothing in here is measured
+/// or tuned at run time.
 struct EngineSettings {
     unsigned gatewayCount = 1;
     GatewayIndex gatewayIndex;  ///< of this gateway among all
@@ -88,11 +89,11 @@
 
     bool mayCancel = false;            ///< tries may be cancelled
     bool mayProbe = false;             ///< not used by the current engine, which sends no probes
-    bool maySendPeerMessages = false;  ///< the daemon opens its socket for peer messages only with this
+    bool maySendPeerMessages = false;  ///< without it the gateway program opens no socket for peer messages
     bool mayDuplicate = false;         ///< setting `mayDuplicate`; not used by the current engine
-    bool maySendRetryAfter = false;    ///< rate-limited answers may carry a waiting time
+    bool maySendRetryAfter = false;    ///< rate-limited answers may carry a retry-after time
     unsigned maxTries = 1;             ///< upstream tries per call, the first included
-    Duration maxRetryAfter{};          ///< longest waiting time in a rate-limited answer
+    Duration maxRetryAfter{};          ///< longest retry-after time in a rate-limited answer
     Duration connectTimeout{};         ///< for connecting to a worker, and for a probe
 
     DiscoveryMode discoveryMode{};
--- a/include/arrowstile/events.hpp
+++ b/include/arrowstile/events.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Events: everything that the decision engine is told. The caller observes them (on sockets, in a simulator)
-/// and passes them to DecisionEngine::handle, which returns actions (see actions.hpp).
+/// Events: the input of the decision engine. The caller observes them (on sockets, in a simulator) and passes
+/// them to DecisionEngine::handle, which returns actions (see actions.hpp).
 #pragma once
 
 #include <arrowstile/ids.hpp>
@@ -94,7 +94,7 @@
     std::vector<double> load;
 };
 
-/// Nobody waits for this call's answer any more: its client disconnected, or a planned stop has answered it.
+/// This call no longer needs an answer: its client disconnected, or a planned stop has answered it.
 struct CallAbandoned {
     CallId call;
 };
@@ -114,7 +114,7 @@
 
 /// Another gateway sent a message. Ignored by the current engine.
 struct PeerMessageReceived {
-    GatewayIndex from;  ///< index into the daemon's list of peers
+    GatewayIndex from;  ///< index into the gateway program's list of peers
     std::vector<std::byte> bytes;
 };
 
@@ -127,6 +127,7 @@
     Duration latency{};  ///< since the request was sent
 };
 
+/// Any one event.
 using Event = std::variant<WorkerListUpdated, CallReceived, TryStreamStarted, TryEnded, CallAbandoned,
                            TimerFired, ProbeEnded, PeerMessageReceived, AddToCountEnded>;
 
--- a/include/arrowstile/ids.hpp
+++ b/include/arrowstile/ids.hpp
@@ -11,9 +11,9 @@
 /// A length of time.
 using Duration = std::chrono::microseconds;
 
-/// A point in time, as the time since the epoch of the caller's clock. The daemon uses the Unix epoch, so
-/// that all gateways compute the same quota windows. It is the same type as Duration; the compiler doesn't
-/// tell them apart.
+/// A point in time, as the time since the epoch of the caller's clock. The gateway program uses the Unix
+/// epoch, so that all gateways compute the same quota windows. It is the same type as Duration; the compiler
+/// doesn't tell them apart.
 using Timestamp = std::chrono::microseconds;
 
 /// An identifier of one kind. `Tag` makes each kind a type of its own, so that an id of one kind can't be
@@ -26,8 +26,9 @@
 
 /// An API call; chosen by the caller of the engine and unique within one engine.
 using CallId = Id<struct CallTag, std::uint64_t>;
-/// A worker. The daemon derives it from the worker's name, so that all gateways use the same id.
+/// A worker. The gateway program derives it from the worker's name, so that all gateways use the same id.
 using WorkerId = Id<struct WorkerTag, std::uint32_t>;
+/// A customer, who holds a quota.
 using CustomerId = Id<struct CustomerTag, std::uint64_t>;
 /// Index into EngineSettings::routes.
 using RouteId = Id<struct RouteTag, std::uint8_t>;
--- a/src/decision_engine.cpp
+++ b/src/decision_engine.cpp
@@ -43,8 +43,8 @@
 constexpr double kRereadBelowBurstFraction = 0.5;
 /// Minimum time between two such reads of a customer's current window.
 constexpr Duration kRereadInterval = milliseconds(100);
-/// After an open cap was found full, time for which any cached total counts as too old to decide about it.
-constexpr Duration kCapFullPeriod = milliseconds(3000);
+/// After an open cap was reached, time for which any cached total counts as too old to decide about it.
+constexpr Duration kCapReachedPeriod = milliseconds(3000);
 /// Length of the windows (epochs) in which open tries are counted. It also stands for the window length of
 /// plans without a quota on the rate.
 constexpr Duration kOpenCountEpoch = milliseconds(20000);
@@ -235,7 +235,7 @@
     unsigned subsetSize = 1;  ///< gateways over which the customer's calls are spread
     WindowPair unitCounts, openCounts;
     int ownOpenTries = 0;              ///< tries of this gateway, including one for each of heldCalls
-    Timestamp capFullAt{};             ///< when the open cap was last found full; zero: never
+    Timestamp capReachedAt{};          ///< when the open cap was last found reached; zero: never
     Timestamp openSharePausedUntil{};  ///< openCapShare() is zero until then
     /// Calls held until the counter has counted their tries against the open cap, oldest first.
     std::deque<CallId> heldCalls;
@@ -375,9 +375,9 @@
         const double own = customer.unitCounts.current.ownUsage() + customer.unitCounts.previous.ownUsage();
         if (!customer.hasTotals && own <= 0) return true;
         // The estimate lets the previous window's use fade in proportion to time, while the quota refills at
-        // its rate. After a burst the estimate alone would therefore refuse with half of the quota unused. In
-        // that case the bucket's level decides, with room left for calls that other gateways admitted and
-        // that are in no total yet.
+        // its rate. After a burst the estimate alone would therefore reject calls with half of the quota
+        // unused. In that case the bucket's level decides, with room left for calls that other gateways
+        // admitted and that are in no total yet.
         const double unseenFactor = std::max(1.0, customer.subsetSize / 2.0 - 1);
         return estimatedUsage(id, customer) + units <= limit ||
                (customer.hasTotals && customer.bucketLevel >= units * unseenFactor);
@@ -423,9 +423,9 @@
 
     /// Answers a call as rate-limited, with a retry-after time where the settings allow it.
     ///
-    /// The latency target counts from the client's first try: a retry after the target uses quota and earns
-    /// next to nothing, and a refusal that late has a cost. So the time is short enough for all of a client's
-    /// retries to fit into the target.
+    /// The latency target counts from the client's first call: a retry after the target uses quota and earns
+    /// next to nothing, and a rate-limited answer that late has a cost. So the time is short enough for all
+    /// of a client's retries to fit into the target.
     void answerRateLimited(CallId id, RouteId route) {
         const Duration maxDelay =
             std::min(settings.maxRetryAfter, routes[route.value].latencyTarget / kRetriesPerLatencyTarget);
@@ -468,8 +468,8 @@
         count.needsReport = false;
         const CountName name = countName(id, kind, count.windowIndex);
         counterRequests[name] = {id, kind, count.windowIndex};
-        // Longer than the counter is expected to take: a late reply is still better than not to know whether
-        // the addition was carried out.
+        // Longer than the counter is expected to take: a late reply still shows whether the addition was
+        // carried out.
         const Duration timeout = 4 * settings.counterTimeout;
         // A count is read during its own window and the next one. The lifetime covers one more.
         actions.push_back(
@@ -501,8 +501,9 @@
     }
 
     /// Reads a customer's totals again if the quota is nearly used up and they are older than
-    /// kRereadInterval. Called when the customer makes a call. A refused customer reports nothing, so without
-    /// this its totals would stand still while the other gateways go on admitting its calls.
+    /// kRereadInterval. Called when the customer makes a call. A customer whose calls are all rate-limited
+    /// here causes no reports, so without this its totals would not change while the other gateways go on
+    /// admitting its calls.
     void rereadTotals(CustomerId id, Customer &customer) {
         const Plan &plan = planOf(customer.plan);
         if (!hasRateQuota(plan) || customer.bucketLevel > kRereadBelowBurstFraction * plan.burst) return;
@@ -529,7 +530,7 @@
         const auto [id, kind, windowIndex] = request->second;
         counterRequests.erase(request);
         const bool isAnswered = ended.outcome == Outcome::answered;
-        // For the pace an error reply is as good as a total: the counter is at work.
+        // For the pace an error reply counts like a total: both show that the counter works.
         adjustRequestRate(isAnswered || ended.outcome == Outcome::errored, ended.latency);
         const auto found = customers.find(id);
         if (found == customers.end()) return;
@@ -592,7 +593,7 @@
     // Requests to the counter are paced by a token bucket whose rate follows the counter's latency and
     // failures (additive increase, multiplicative decrease). The counter also works on requests whose sender
     // has stopped waiting, so sending more than it can take would yield fewer replies. The pacing covers a
-    // slow, overloaded, silent or refusing counter and a very large number of gateways.
+    // slow, overloaded, silent or rejecting counter and a very large number of gateways.
 
     /// Even share of this gateway in a figure of all gateways together.
     double gatewayShare(double ofAllGateways) const { return ofAllGateways / settings.gatewayCount; }
@@ -655,8 +656,8 @@
                    : std::max(1u, planOf(customer.plan).openCap / customer.subsetSize);
     }
 
-    bool wasCapRecentlyFull(const Customer &customer) const {
-        return customer.capFullAt != Timestamp{} && now - customer.capFullAt < kCapFullPeriod;
+    bool wasCapRecentlyReached(const Customer &customer) const {
+        return customer.capReachedAt != Timestamp{} && now - customer.capReachedAt < kCapReachedPeriod;
     }
 
     /// Estimates how many of the other gateways' tries in a total are still open. Tries end soon, so the
@@ -666,7 +667,7 @@
     }
 
     /// Decides whether the customer's cap on open tries may have room for one more. If the cap was recently
-    /// full, only this gateway's own tries are compared here: with a trusted counter the call is held
+    /// reached, only this gateway's own tries are compared here: with a trusted counter the call is held
     /// afterwards until the exact number is read, and without one the limit is this gateway's share.
     bool openCapAdmits(CustomerId id, Customer &customer) {
         const Plan &plan = planOf(customer.plan);
@@ -675,9 +676,9 @@
         const double others =
             othersStillOpen(customer.openCounts.current) + othersStillOpen(customer.openCounts.previous);
         const double limit =
-            isCounterTrusted() || !wasCapRecentlyFull(customer) ? plan.openCap : openCapShare(customer);
-        const bool hasRoom = customer.ownOpenTries + (wasCapRecentlyFull(customer) ? 0 : others) < limit;
-        if (!hasRoom) customer.capFullAt = now;
+            isCounterTrusted() || !wasCapRecentlyReached(customer) ? plan.openCap : openCapShare(customer);
+        const bool hasRoom = customer.ownOpenTries + (wasCapRecentlyReached(customer) ? 0 : others) < limit;
+        if (!hasRoom) customer.capReachedAt = now;
         return hasRoom;
     }
 
@@ -692,7 +693,7 @@
         double open = hasReply ? total + othersStillOpen(customer.openCounts.previous) -
                                      static_cast<double>(customer.heldInRequest)
                                : customer.ownOpenTries - static_cast<double>(customer.heldCalls.size());
-        if (total >= cap) customer.capFullAt = now;
+        if (total >= cap) customer.capReachedAt = now;
         const auto end = customer.heldCalls.begin() + static_cast<std::ptrdiff_t>(customer.heldInRequest);
         const std::vector<CallId> decided(customer.heldCalls.begin(), end);
         customer.heldCalls.erase(customer.heldCalls.begin(), end);
@@ -794,13 +795,13 @@
         }
         Call &call = calls[received.call] = {received, now, now + received.timeRemaining};
         if (awaitsTotals) return requestFirstTotals(received.customer, customer, call);
-        // If the open cap was recently full, any cached total is too old to decide. Where an even share of
+        // If the open cap was recently reached, any cached total is too old to decide. Where an even share of
         // the cap is below one, so is a total that is older than the usual latency. In both cases the try is
         // first counted at the counter, and the call is held until the reply decides about it.
         const CachedCount &open = customer.openCounts.current;
         const bool isTotalTooOld =
             planOf(call.plan).openCap < customer.subsetSize && toMs(now - open.totalReadAt) > usualLatencyMs;
-        call.isHeld = planOf(call.plan).openCap > 0 && (wasCapRecentlyFull(customer) || isTotalTooOld) &&
+        call.isHeld = planOf(call.plan).openCap > 0 && (wasCapRecentlyReached(customer) || isTotalTooOld) &&
                       isCounterTrusted() && received.timeRemaining > 4 * settings.counterTimeout;
         if (!call.isHeld) return sendFirstTry(received.call, call, customer);
         enqueueReport(received.customer, customer);
@@ -909,8 +910,8 @@
     // ---- Retry queue ----
 
     /// Whether there is time for another try and the route allows one. A call that no worker has run is given
-    /// up after the first half of its time, because a later refusal costs the client more. Two ticks are kept
-    /// in reserve, since a queued call may have to wait for a tick.
+    /// up after the first half of its time, because a later rate-limited answer costs the client more. Two
+    /// ticks are kept in reserve, since a queued call may have to wait for a tick.
     bool mayRetry(const Call &call) const {
         const Timestamp latest = call.mayHaveRun
                                      ? call.deadline - 2 * kTickInterval
@@ -1020,7 +1021,7 @@
     /// Rebuilds readyWorkers after the list of workers changed: workers of this gateway's zone first, within
     /// a zone by a hash of gateway and worker. Thus each gateway has an order of its own. It uses the first
     /// workers of that order, about as many as it sends tries a second (see wantedWorkerCount()), so that it
-    /// gets frequent results of each of them. The subsets of all gateways together cover the fleet.
+    /// gets frequent results of each of them. Together all gateways use the whole fleet.
     void rebuildWorkerOrder() {
         readyWorkers.clear();
         for (auto &[id, worker] : workers)
