--- a/src/facts/settings.cpp
+++ b/src/facts/settings.cpp
@@ -9,7 +9,7 @@
 using nlohmann::json;
 
 /// Reads a number of milliseconds.
-Duration milliseconds(const json &from, const char *key, double fallback = 0) {
+Duration readMilliseconds(const json &from, const char *key, double fallback = 0) {
     return Duration{std::llround(from.value(key, fallback) * 1000)};
 }
 
@@ -51,7 +51,7 @@
     route.dedupScope = readEnum<DedupScope>(
         from, "keyScope",
         {{"cell", DedupScope::group}, {"all", DedupScope::all}, {"zone", DedupScope::zone}});
-    route.dedupWindow = milliseconds(from, "dedupWindowMs");
+    route.dedupWindow = readMilliseconds(from, "dedupWindowMs");
     route.clientTimeout = Duration{std::llround(from.at("deadlineMs").get<double>() * 1000)};
     route.latencyTarget = Duration{std::llround(from.at("onTimeMs").get<double>() * 1000)};
     route.billedValue = from.value("credit", 1.0);
@@ -89,9 +89,9 @@
     settings.mayUseCounter = counterInfo.value("mayCount", false);
     settings.hasActualUnits = counterInfo.value("truedUp", false);
     settings.maxUnits = counterInfo.value("largest", 1e9);
-    settings.counterTimeout = milliseconds(counterInfo, "countLimitMs");
+    settings.counterTimeout = readMilliseconds(counterInfo, "countLimitMs");
     settings.counterPrice = counterInfo.value("counterPrice", 0.0);
-    settings.usagePeriod = milliseconds(counterInfo, "usePeriodMs");
+    settings.usagePeriod = readMilliseconds(counterInfo, "usePeriodMs");
     settings.peerMessagesPerSecond = counterInfo.value("mailPerS", 0.0);
 
     const json permissions = objectOrEmpty(all, "permissions");
@@ -101,8 +101,8 @@
     settings.mayDuplicate = permissions.value("mayDuplicate", false);
     settings.maySendRetryAfter = permissions.value("retryAfter", false);
     settings.maxTries = std::max(1u, permissions.value("sendCap", 1u));
-    settings.maxRetryAfter = milliseconds(permissions, "maxRetryAfterMs");
-    settings.connectTimeout = milliseconds(permissions, "connectTimeoutMs");
+    settings.maxRetryAfter = readMilliseconds(permissions, "maxRetryAfterMs");
+    settings.connectTimeout = readMilliseconds(permissions, "connectTimeoutMs");
 
     settings.discoveryMode = readEnum<DiscoveryMode>(
         all, "registryMode", {{"pushed", DiscoveryMode::pushed}, {"on_request", DiscoveryMode::onRequest}});
@@ -116,14 +116,14 @@
     }
 
     const json &rules = all.at("rules");
-    settings.answerSlack = milliseconds(rules, "answerSlackMs");
-    settings.drainGrace = milliseconds(rules, "drainGraceMs");
-    settings.askWithin = milliseconds(rules, "askWithinMs");
+    settings.answerSlack = readMilliseconds(rules, "answerSlackMs");
+    settings.drainGrace = readMilliseconds(rules, "drainGraceMs");
+    settings.askWithin = readMilliseconds(rules, "askWithinMs");
     settings.coldCapacityFraction = rules.value("coldFrom", 1.0);
-    settings.warmUp = milliseconds(rules, "rampTimeMs");
+    settings.warmUp = readMilliseconds(rules, "rampTimeMs");
     settings.coldOverloadFactor = rules.value("tipMultiple", 1.0);
-    settings.coldOverloadWindow = milliseconds(rules, "fallMs");
-    settings.tickInterval = milliseconds(all, "tickMs", 1);
+    settings.coldOverloadWindow = readMilliseconds(rules, "fallMs");
+    settings.tickInterval = readMilliseconds(all, "tickMs", 1);
     return settings;
 }
 
@@ -147,7 +147,7 @@
         settings.workerTypeNames = readNames(all, "shapes");
         settings.loadColumnNames = readNames(objectOrEmpty(all, "report"), "columns");
         const json permissions = objectOrEmpty(all, "permissions");
-        settings.workerIdleTimeout = milliseconds(permissions, "keepaliveMs");
+        settings.workerIdleTimeout = readMilliseconds(permissions, "keepaliveMs");
         settings.maxTriesPerConnection = std::max(1u, permissions.value("streamsPerConn", 1u));
         return settings;
     } catch (const json::exception &error) {
--- a/src/net/client_connections.cpp
+++ b/src/net/client_connections.cpp
@@ -34,24 +34,25 @@
 /// After the first phase, the listening socket is closed once no client has connected for this long.
 constexpr Duration kNoNewClientPeriod = milliseconds(200);
 /// The listening socket is closed this long after the start of a planned stop, even if clients still connect.
-/// Ordinary clients stop connecting after about half a second; a crowd that never stops must not hold up the
-/// stop.
+/// Ordinary clients stop connecting after about half a second; clients that connect without end must not hold
+/// up the stop.
 constexpr Duration kMaxAcceptPeriod = milliseconds(900);
 constexpr Duration kStopPollInterval = milliseconds(20);
 
 // The process is killed 0.7 s after the longest client timeout at the earliest, where that timeout counts as
 // 3 s at most, and the planned stop ends before that. Single clients may wait for longer, so calls can still
-// be open kStopMargin after the timeout. They are answered then, and their clients have kFinalAnswerPeriod to
-// fetch the answers before all connections are closed.
+// be pending kStopMargin after the timeout. They are answered then, and their clients have kFinalAnswerPeriod
+// to fetch the answers before all connections are closed.
 constexpr Duration kMaxClientTimeout = milliseconds(3000);
 constexpr Duration kStopMargin = milliseconds(550);
 constexpr Duration kFinalAnswerPeriod = milliseconds(60);
 
 }  // namespace
 
+/// A client's connection, with the order of its answers and the limits on its input and output.
 struct ClientConnections::Connection final : TcpConnection::Handler {
-    Connection(ClientConnections &connections, ClientId clientId, Timestamp now, Timestamp since)
-        : owner(connections), id(clientId), lastActiveAt(now), unreadSince(since) {
+    Connection(ClientConnections &connections, ClientId clientId, Timestamp now, Timestamp inputSince)
+        : owner(connections), id(clientId), lastActiveAt(now), unreadSince(inputSince) {
         ++owner.nonCallingCount_;
     }
 
@@ -93,8 +94,9 @@
     }
 
     /// Called for each API call. Clients can't hold more connections for calls at once than a third of this
-    /// gateway's descriptors. Where they send one call per connection and keep the connection open, further
-    /// calls would wait on their side for one to end, so the one that has been idle longest is closed before.
+    /// gateway's sockets. Where they send one call per connection and keep the connection open, further
+    /// calls would wait on their side for one to end, so the one that has been idle longest is closed before
+    /// that happens.
     void recordApiCall() {
         hasSentCommand = true;
         if (!std::exchange(isNonCalling, false)) return;
@@ -124,7 +126,7 @@
 
     void onClosed() override { owner.closeConnection(id); }
 
-    /// Queues an answer that is known at once, behind those to earlier commands.
+    /// Queues an answer that needs no worker, behind those to earlier commands.
     void queueAnswer(std::string text) {
         answerQueue.fillSlot(answerQueue.reserveSlot(), std::move(text));
         owner.unflushedConnections_.insert(id);
@@ -216,7 +218,7 @@
         if (isLongerIdle && !(isKeptIfUnread && connection.tcp->hasUnreadInput())) longestIdle = candidate;
     }
     if (longestIdle == connections_.end()) return false;
-    ++context_.metrics.clientsLetGo;
+    ++context_.metrics.clientsEvicted;
     connections_.erase(longestIdle);
     return true;
 }
@@ -229,33 +231,33 @@
     for (const auto &[id, connection] : connections_)
         if (connection->isOverdue(now)) overdue.push_back(id);
     for (const ClientId id : overdue) {
-        ++context_.metrics.clientsLetGo;
+        ++context_.metrics.clientsEvicted;
         closeConnection(id);
     }
 }
 
 /// Accepts a client. At the limit on connections that have not sent an API call, one of those is closed, so
-/// that a crowd of clients that send nothing, or only PING, never displaces clients that send calls. If none
-/// of those can be closed, because they have input that was never read or await an answer, the new client
-/// waits. At the limit on all connections, the one that has been idle longest is closed; if none is idle, the
-/// new client is turned away.
+/// that any number of clients that send nothing, or only PING, never displace clients that send calls. If
+/// none of those can be closed, because they have input that was never read or await an answer, the new
+/// client waits. At the limit on all connections, the one that has been idle longest is closed; if none is
+/// idle, the new connection is closed at once.
 void ClientConnections::accept() {
-    const Timestamp since = acceptDeferredSince_ ? *acceptDeferredSince_ : context_.lastReadAt;
+    const Timestamp inputSince = acceptDeferredSince_ ? *acceptDeferredSince_ : context_.lastReadAt;
     acceptDeferredSince_.reset();
     if (nonCallingCount_ >= context_.limits.maxNonCallingClients &&
         !evictLongestIdle(EvictionScope::nonCalling)) {
-        acceptDeferredSince_ = since;
+        acceptDeferredSince_ = inputSince;
         return;
     }
     const bool hasRoom =
         connections_.size() < context_.limits.maxClientConnections || evictLongestIdle(EvictionScope::all);
     const ClientId id{++lastClientId_};
     lastAcceptedAt_ = context_.clock.now();
-    auto connection = std::make_unique<Connection>(*this, id, lastAcceptedAt_, since);
+    auto connection = std::make_unique<Connection>(*this, id, lastAcceptedAt_, inputSince);
     connection->tcp =
         TcpConnection::accept(reinterpret_cast<uv_stream_t *>(listener_.get()), connection.get());
     if (!connection->tcp) return;
-    ++(hasRoom ? context_.metrics.clientsAccepted : context_.metrics.clientsTurnedAway);
+    ++(hasRoom ? context_.metrics.clientsAccepted : context_.metrics.clientsRejected);
     if (hasRoom) connections_.emplace(id, std::move(connection));
 }
 
@@ -331,17 +333,17 @@
     if (acceptDeferredSince_ && listener_) accept();
 }
 
-/// Closes the connection whose incomplete command has been waited for longest, to make room for the others.
+/// Closes the connection whose command has been incomplete for longest, to free memory for the others.
 void ClientConnections::closeOldestIncompleteCommand() {
     const auto oldest = std::ranges::min_element(connections_, {}, [](const auto &entry) {
         return std::pair(entry.second->incompleteCommandBytes <= kSmallIncompleteCommandBytes,
                          entry.second->lastActiveAt);
     });
-    ++context_.metrics.clientsLetGo;
+    ++context_.metrics.clientsEvicted;
     closeConnection(oldest->first);
 }
 
-/// Closes a connection and reports its open calls as abandoned.
+/// Closes a connection and reports its pending calls as abandoned.
 void ClientConnections::closeConnection(ClientId id) {
     for (const CallId call : pendingCalls_.removeAllOf(id)) {
         ++context_.metrics.callsAbandoned;
@@ -356,9 +358,9 @@
     context_.timers.schedule(stopStartedAt_ + kStopDelay, [this] { continuePlannedStop(); });
 }
 
-/// Answers all open calls, because the process ends before their clients stop waiting. A try of a call may be
-/// in flight, so the answer is errored, which does not say whether the call ran; a call that got no answer at
-/// all would be lost.
+/// Answers all pending calls, because the process ends before their clients stop waiting. A try of a call may
+/// be in flight, so the answer is errored, which does not say whether the call ran; a call that got no answer
+/// at all would be lost.
 void ClientConnections::answerRemainingCalls() {
     for (const auto &[id, connection] : connections_) {
         for (const CallId call : pendingCalls_.callsOf(id)) {
@@ -369,8 +371,8 @@
     }
 }
 
-/// Runs every kStopPollInterval in a planned stop, until all connections are closed. A client that was told
-/// of the end and keeps its side open is not waited for beyond kCloseGracePeriod.
+/// Runs every kStopPollInterval in a planned stop, until all connections are closed. A client that keeps its
+/// side open after the gateway has closed its own is not waited for beyond kCloseGracePeriod.
 void ClientConnections::continuePlannedStop() {
     const Timestamp now = context_.clock.now();
     isClosingIdle_ = true;
--- a/src/net/client_connections.hpp
+++ b/src/net/client_connections.hpp
@@ -36,7 +36,7 @@
 
 private:
     struct Connection;
-    /// Which connections may be closed to make room for another.
+    /// Which connections may be closed to free a socket for another.
     enum class EvictionScope { all, nonCalling, calling };
     struct ListenerCloser {
         void operator()(uv_tcp_t *listener) const;
--- a/src/net/core/discovery_update.cpp
+++ b/src/net/core/discovery_update.cpp
@@ -17,7 +17,7 @@
     return Index{static_cast<decltype(Index{}.value)>(found == names.end() ? 0 : found - names.begin())};
 }
 
-/// Every status but `Ready` and `Gone` means that the worker is about to leave.
+/// Every status but `Ready` and `Gone` counts as draining: the worker is about to leave.
 WorkerState stateOf(const std::string &status) {
     if (status == "Ready") return WorkerState::ready;
     return status == "Gone" ? WorkerState::gone : WorkerState::draining;
--- a/src/net/core/metrics.hpp
+++ b/src/net/core/metrics.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Counters of a gateway's activity, shown by the command `INFO` and in the log.
+/// Metrics of a gateway's activity, shown by the command `INFO` and in the log.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,13 @@
 
 namespace arrowstile {
 
-/// What a gateway has received, sent and answered since its start. The counters only increase.
+/// What a gateway has received, sent and answered since its start. The values only increase.
 struct Metrics {
     std::uint64_t clientsAccepted = 0;
-    std::uint64_t clientsTurnedAway = 0;  ///< connections closed at once for lack of room
-    /// Connections closed to make room or free memory for others, or because a client was silent for too
-    /// long.
-    std::uint64_t clientsLetGo = 0;
+    std::uint64_t clientsRejected = 0;  ///< connections closed at once, at the limit on connections
+    /// Connections closed to free sockets or memory for others, or because a client took too long to send a
+    /// command or to close its side.
+    std::uint64_t clientsEvicted = 0;
     std::uint64_t badCommands = 0;  ///< malformed, unknown or invalid commands
 
     std::uint64_t callsTaken = 0;        ///< API calls accepted, each of them owed a final answer
@@ -22,19 +22,19 @@
     std::uint64_t callsErrored = 0;      ///< final answers, with those given by a planned stop
     std::uint64_t callsAbandoned = 0;    ///< calls whose client disconnected before the final answer
 
-    // All counters of tries include probes.
+    // All metrics of tries include probes.
     std::uint64_t triesSent = 0;
     std::uint64_t triesAnswered = 0;
     std::uint64_t triesErrored = 0;
-    std::uint64_t triesFull = 0;  ///< rejected by the worker (Outcome::overloaded)
+    std::uint64_t triesOverloaded = 0;  ///< rejected by the worker (Outcome::overloaded)
     std::uint64_t triesTimedOut = 0;
-    std::uint64_t triesUnconnected = 0;  ///< not delivered to the worker (Outcome::connectFailed)
+    std::uint64_t triesConnectFailed = 0;  ///< not delivered to the worker (Outcome::connectFailed)
     std::uint64_t triesReset = 0;
-    std::uint64_t triesCalledOff = 0;  ///< cancelled by the gateway
+    std::uint64_t triesCancelled = 0;  ///< cancelled by the gateway
     std::uint64_t triesNotSent = 0;    ///< not attempted; not part of triesSent
     /// Connections to workers closed with a try on them, because the reply was invalid, unexpected or too
     /// long, or was the longest incomplete one when memory was short.
-    std::uint64_t repliesSpoilt = 0;
+    std::uint64_t invalidReplies = 0;
 
     std::uint64_t workerConnections = 0;   ///< connections to workers that were started
     std::uint64_t countsSent = 0;          ///< requests to the counter
@@ -47,7 +47,7 @@
     std::uint64_t peerMessagesOut = 0;
     std::uint64_t reloads = 0;  ///< start documents read again and put into effect
 
-    /// Returns one line `name:value` for each counter, ended by CR LF. The names are an interface for
+    /// Returns one line `name:value` for each metric, ended by CR LF. The names are an interface for
     /// operators' tools, so they stay as they are even where a field is renamed.
     std::string toText() const;
 };
--- a/src/net/core/pending_calls.hpp
+++ b/src/net/core/pending_calls.hpp
@@ -46,8 +46,8 @@
     unsigned tryCount = 0;  ///< upstream tries so far
 };
 
-/// The API calls that await a final answer. A call is removed when the answer is given or when nobody waits
-/// for it any more, so that no call is answered twice and nothing is sent for it afterwards.
+/// The API calls that await a final answer. A call is removed when the answer is given or when its client
+/// has gone, so that no call is answered twice and nothing is sent for it afterwards.
 class PendingCallTable {
 public:
     /// Adds a call and returns its new id, which it also stores in the call's event. Doesn't check the
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -150,7 +150,7 @@
 /// Closes a connection and reports the end of the request in flight on it, if any: as errored if a response
 /// came that can't be read, because then the amount was added; as reset if the whole request was handed to
 /// the system, because then the amount may have been added; and otherwise as connectFailed, because then it
-/// was not. Every connection with a request in flight that has not been reported is closed here.
+/// was not. A connection whose request has not been reported as ended is closed only here.
 void CounterClient::closeConnection(Connection &connection, bool wasAnswered) {
     const auto found = std::ranges::find_if(
         connections_, [&](const auto &candidate) { return candidate.get() == &connection; });
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -11,9 +11,10 @@
 /// A gateway becomes ready with discovery's first answer. If it was started with a cached list of workers, it
 /// becomes ready after this time at the latest.
 constexpr Duration kMaxReadyDelay = milliseconds(1000);
-/// Actions may produce further events at once; more rounds than this are left to the next iteration.
+/// Actions may produce further events at once. Those that remain after this number of rounds are left to the
+/// next iteration of the event loop.
 constexpr int kMaxRoundsPerIteration = 8;
-/// The process was stopped in its sleep if it wakes up later than planned by more than this.
+/// If the event loop wakes up later than planned by more than this, the process was suspended meanwhile.
 constexpr Duration kMaxWakeDelay = milliseconds(5);
 
 }  // namespace
@@ -124,13 +125,13 @@
 }
 
 /// Runs after the sockets were read: a reply that has arrived in time is processed before the timer that
-/// would give up its request, however long the machine stood still.
+/// would give up its request, however long the process was suspended.
 void Gateway::processIteration() {
     const Timestamp now = context_.clock.now();
-    // If the process was stopped while the loop waited, the loop may return without having read the sockets.
-    // It then polls once more before any timer runs.
-    hasOverslept_ = now > wakeBy_ + kMaxWakeDelay && !hasOverslept_;
-    if (!hasOverslept_) {
+    // If the process was suspended while the loop waited, the loop may return without having read the
+    // sockets. It then polls once more before any timer runs.
+    hasWokenLate_ = now > wakeBy_ + kMaxWakeDelay && !hasWokenLate_;
+    if (!hasWokenLate_) {
         context_.lastReadAt = now;
         context_.timers.runDue(now);
     }
@@ -143,8 +144,8 @@
 }
 
 /// Passes the pending events to the engine and carries out the actions that it returns. Changes of the list
-/// of workers are passed first: they hold for every try that is sent after they arrived, even if the engine
-/// decides on it because of an event that arrived earlier.
+/// of workers are passed first: they apply to every try that is sent after they arrived, even if the engine
+/// sends it because of an event that arrived earlier.
 void Gateway::runEngine() {
     events_.clear();
     events_.swap(context_.pendingEvents);
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -72,7 +72,7 @@
     DiscoveryClient discovery_;
     PeerSocket peers_;
     Timestamp wakeBy_{};           ///< when the loop has to return from waiting for input
-    bool hasOverslept_ = false;    ///< the current iteration began late, so it runs no timers
+    bool hasWokenLate_ = false;    ///< the current iteration began late, so it runs no timers
     std::vector<Event> events_;    ///< being processed; a member to reuse its memory
     std::vector<Action> actions_;  ///< being carried out; a member to reuse its memory
     std::unique_ptr<uv_prepare_t, HandleCloser> beforePoll_;
--- a/src/net/worker_connections.cpp
+++ b/src/net/worker_connections.cpp
@@ -13,11 +13,12 @@
 /// machine may close it earlier than the settings say, and of a try that crosses that close it is unknown
 /// whether it ran.
 constexpr int kIdleTimeoutDivisor = 2;
-/// Worker machines may also use a shorter timeout on some days. Once an earlier close is observed, the
+/// A worker's machine may use a shorter timeout for a time. Once an earlier close is observed, this gateway's
 /// timeout is reduced to 1/2 of the shortest idle time seen; it then grows by 1/100 per cleanup up to the
 /// usual value.
 constexpr int kIdleTimeoutGrowthDivisor = 100;
-/// A close after a shorter idle time is not an idle timeout: some answers end their connection.
+/// A close after a shorter idle time is not taken for an idle timeout: workers close some connections after a
+/// reply.
 constexpr Duration kMinObservedIdle = milliseconds(20);
 
 const char *outcomeName(Outcome outcome) {
@@ -50,6 +51,7 @@
     std::vector<std::unique_ptr<Connection>> connections;  ///< the most recently used one is last
 };
 
+/// A connection to a worker, with the tries and probes that were sent on it and are not over.
 struct WorkerConnections::Connection final : TcpConnection::Handler {
     Connection(WorkerConnections &connections, WorkerId to) : owner(connections), worker(to) {}
 
@@ -234,7 +236,7 @@
 
 /// Closes a connection and reports the end of all requests in flight on it: as `outcome` if the whole request
 /// was handed to the system, and otherwise as connectFailed, because then the worker can't have run it.
-/// Every connection with requests in flight is closed here.
+/// Connections with requests in flight are closed only here, so that the end of each request is reported.
 void WorkerConnections::closeConnection(Connection &connection, Outcome outcome) {
     auto &connections = pools_.at(connection.worker).connections;
     const auto found = std::ranges::find_if(
@@ -304,7 +306,7 @@
 /// Closes the connection, because its input can no longer be matched to requests. Returns the number of bytes
 /// consumed. Tries on it may have run; they count as errored, since the close says little about the worker.
 std::size_t WorkerConnections::Connection::closeOnInvalidReply() {
-    if (!inFlight.empty()) ++owner.context_.metrics.repliesSpoilt;
+    if (!inFlight.empty()) ++owner.context_.metrics.invalidReplies;
     owner.closeConnection(*this, Outcome::errored);
     return 0;
 }
@@ -316,11 +318,11 @@
     switch (outcome) {
         case Outcome::answered: ++metrics.triesAnswered; break;
         case Outcome::errored: ++metrics.triesErrored; break;
-        case Outcome::overloaded: ++metrics.triesFull; break;
+        case Outcome::overloaded: ++metrics.triesOverloaded; break;
         case Outcome::timedOut: ++metrics.triesTimedOut; break;
-        case Outcome::connectFailed: ++metrics.triesUnconnected; break;
+        case Outcome::connectFailed: ++metrics.triesConnectFailed; break;
         case Outcome::reset: ++metrics.triesReset; break;
-        case Outcome::cancelled: ++metrics.triesCalledOff; break;
+        case Outcome::cancelled: ++metrics.triesCancelled; break;
         case Outcome::notSent: ++metrics.triesNotSent; break;
     }
     const Duration latency = context_.clock.now() - request.sentAt;
