--- a/include/arrowstile/events.hpp
+++ b/include/arrowstile/events.hpp
@@ -118,8 +118,8 @@
     std::vector<std::byte> bytes;
 };
 
-/// A request to the counter (AddToCount) is over. With the outcomes `overloaded` and `connectFailed` nothing
-/// was added; with those other than `answered` the amount may have been added.
+/// A request to the counter (AddToCount) is over. With the outcome `answered` the amount was added, with
+/// `overloaded` and `connectFailed` it was not; with all others it may have been.
 struct AddToCountEnded {
     CountName name;
     Outcome outcome{};
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -19,6 +19,7 @@
 constexpr int kExitBadUsage = 2;           // wrong arguments, or a scenario that can't be used
 constexpr int kExitCouldNotRun = 3;        // for example a file that can't be read or written
 
+/// A file can't be read or written.
 struct FileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
--- a/src/lab/model/counter.cpp
+++ b/src/lab/model/counter.cpp
@@ -16,10 +16,10 @@
 AddResult Counter::add(Timestamp now, CountName name, double amount, Duration lifetime) {
     ++requestCount_;
     if (mode_ == CounterMode::silent) return {};
-    const Duration serviceTime = fromMilliseconds(1000 * static_cast<double>(shardBusyUntil_.size()) /
-                                                  spec_.requestsPerSecond * slowdown_);
+    const Duration serviceTime =
+        fromMs(1000 * static_cast<double>(shardBusyUntil_.size()) / spec_.requestsPerSecond * slowdown_);
     Timestamp &busyUntil = shardBusyUntil_[name.value % shardBusyUntil_.size()];
-    if (mode_ == CounterMode::refusing || busyUntil > now + serviceTime * spec_.maxQueueLength) {
+    if (mode_ == CounterMode::rejecting || busyUntil > now + serviceTime * spec_.maxQueueLength) {
         ++rejectedCount_;
         return {false, true, 0, now};
     }
@@ -27,7 +27,7 @@
     busyUntil = std::max(busyUntil, now) + serviceTime;
     const auto [entry, isNew] = counts_.try_emplace(name);
     if (isNew) {
-        entry->second.expiresAt = now + std::min(lifetime, fromMilliseconds(60000));
+        entry->second.expiresAt = now + std::min(lifetime, fromMs(60000));
         expiries_.emplace(entry->second.expiresAt, name);
     }
     entry->second.total += amount;
--- a/src/lab/model/counter.hpp
+++ b/src/lab/model/counter.hpp
@@ -12,8 +12,8 @@
 /// How the counter treats requests; the modes other than `serving` are injected faults.
 enum class CounterMode : std::uint8_t {
     serving,
-    refusing,  ///< rejects every request at once, without effect
-    silent     ///< never replies, and adds nothing
+    rejecting,  ///< rejects every request at once, without effect
+    silent      ///< never replies, and adds nothing
 };
 
 /// Capacity of the counter.
--- a/src/lab/model/event_queue.hpp
+++ b/src/lab/model/event_queue.hpp
@@ -80,8 +80,9 @@
     std::mt19937_64 generator_;
 };
 
-inline double toMilliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
+/// Keeps fractions of a millisecond.
+inline double toMs(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
 /// Rounds to the nearest microsecond, for values that aren't negative.
-inline Duration fromMilliseconds(double ms) { return Duration{static_cast<std::int64_t>(ms * 1000 + 0.5)}; }
+inline Duration fromMs(double ms) { return Duration{static_cast<std::int64_t>(ms * 1000 + 0.5)}; }
 
 }  // namespace arrowstile::lab
--- a/src/lab/model/fleet.cpp
+++ b/src/lab/model/fleet.cpp
@@ -18,7 +18,7 @@
 /// How long a run goes on after the traffic has ended. Longer than the client timeouts of the shipped
 /// scenarios.
 constexpr Duration kSettleTime = seconds(6);
-/// Clients keep sending calls to a killed gateway. A client notices after this time that its call has failed,
+/// Clients keep sending calls to a killed gateway. A client detects after this time that its call has failed,
 /// and retries.
 constexpr Duration kDeadGatewayTimeout = milliseconds(1500);
 
@@ -53,10 +53,11 @@
     bool isOver = false;
     bool isReceived = false;  // by its gateway
     unsigned tryCount = 0;
-    std::uint64_t openTry = 0;  // id of the try that is out; 0: none
+    std::uint64_t openTry = 0;  // id of the try in flight; 0: none
     std::size_t node = 0;       // index of the node of the latest try
 };
 
+/// A gateway: its engine, and whether it runs.
 struct Gateway {
     std::unique_ptr<DecisionEngine> engine;
     unsigned incarnation = 0;  // changes when the gateway starts and when it is killed
@@ -67,7 +68,7 @@
 struct FleetNode {
     std::unique_ptr<Node> node;
     WorkerEntry entry;
-    std::uint64_t completionTimer = 0;  // number of the latest completion timer; earlier ones are void
+    std::uint64_t completionTimer = 0;  // number of the latest completion timer; earlier ones have no effect
 };
 
 /// One run of a scenario.
@@ -127,8 +128,7 @@
     void computeAchievable(std::size_t interval) {
         double availableMs = 0;
         for (const FleetNode &fleetNode : nodes_)
-            availableMs +=
-                fleetNode.node->availableCapacity(events_.now()) * toMilliseconds(kServiceInterval);
+            availableMs += fleetNode.node->availableCapacity(events_.now()) * toMs(kServiceInterval);
         const double fraction =
             requestedWorkMs_[interval] > availableMs ? availableMs / requestedWorkMs_[interval] : 1;
         for (GroupService &group : report_.groups)
@@ -205,8 +205,8 @@
                          });
     }
 
-    /// The counter handles the request after the way there. Its reply counts as timed out if it would reach
-    /// the gateway too late.
+    /// The request reaches the counter after the network latency. It ends as timed out if the reply would
+    /// reach the gateway too late.
     void perform(unsigned gateway, const AddToCount &action) {
         const unsigned incarnation = gateways_[gateway].incarnation;
         const Timestamp sentAt = events_.now();
@@ -257,7 +257,7 @@
         ++customers_[request.customer].openTries;
         Duration connectDelay{};
         if (maxConnectDelayMs_ > 0 && call.node < slowConnectNodeCount_)
-            connectDelay = fromMilliseconds(random_.drawUniform() * maxConnectDelayMs_);
+            connectDelay = fromMs(random_.drawUniform() * maxConnectDelayMs_);
         if (connectDelay > scenario_.settings.connectTimeout)
             events_.schedule(events_.now() + scenario_.settings.connectTimeout,
                              [this, tryId] { endTry(tryId, Outcome::connectFailed, {}); });
@@ -312,11 +312,11 @@
         report_.maxColdLoadFraction =
             std::max(report_.maxColdLoadFraction, target.node->maxColdLoadFraction());
         if (rejected) return scheduleTryEnd(job.id, Outcome::overloaded, rejected->queueLength);
-        if (!target.node->isAlive()) return loseNode(index);  // the job has overloaded the cold node
+        if (!target.node->isAlive()) return loseNode(index);  // the job has crashed the cold node
         scheduleCompletion(index);
     }
 
-    /// Ends a try when news of its outcome has travelled from the node to the gateway.
+    /// Ends a try when its outcome at the node has reached the gateway, after the network latency.
     void scheduleTryEnd(JobId id, Outcome outcome, std::optional<unsigned> queueLength) {
         events_.schedule(events_.now() + scenario_.oneWayLatency,
                          [this, id, outcome, queueLength] { endTry(id.value, outcome, queueLength); });
@@ -338,7 +338,7 @@
                            found != openTries_.end() ? found->second.call : callByTry_[result.id.value],
                            fleetNode.entry.worker.value);
                 const bool isAnswered =
-                    result.outcome == JobOutcome::answered && random_.drawUniform() >= spoiltAnswerFraction_;
+                    result.outcome == JobOutcome::answered && random_.drawUniform() >= invalidAnswerFraction_;
                 const Outcome outcome = isAnswered ? Outcome::answered : Outcome::errored;
                 if (!fleetNode.node->isSilent()) scheduleTryEnd(result.id, outcome, result.queueLength);
             }
@@ -358,12 +358,13 @@
 
     void announceGone(std::size_t index) { announceState(index, WorkerState::gone); }
 
-    /// Changes a node's state in discovery, and tells the gateways after the delay of the list.
+    /// Changes a node's state in discovery, and delivers the change to the gateways after the delay of the
+    /// list.
     void announceState(std::size_t index, WorkerState state) {
         nodes_[index].entry.state = state;
         const WorkerListUpdated update{WorkerListKind::delta, 1, {nodes_[index].entry}};
         const unsigned lateCount = lateListGatewayCount_;
-        const auto tellGateways = [this, update, index, state](unsigned begin, unsigned end) {
+        const auto notifyGateways = [this, update, index, state](unsigned begin, unsigned end) {
             for (unsigned gateway = begin; gateway < end; ++gateway) {
                 if (!gateways_[gateway].isAlive) continue;
                 if (state != WorkerState::ready) record(TraceEventKind::nodeNotReady, gateway, 0, index + 1);
@@ -371,10 +372,10 @@
             }
         };
         if (lateCount > 0)
-            events_.schedule(events_.now() + scenario_.listDelay + fromMilliseconds(extraListDelayMs_),
-                             [tellGateways, lateCount] { tellGateways(0, lateCount); });
-        events_.schedule(events_.now() + scenario_.listDelay, [this, tellGateways, lateCount] {
-            tellGateways(lateCount, static_cast<unsigned>(gateways_.size()));
+            events_.schedule(events_.now() + scenario_.listDelay + fromMs(extraListDelayMs_),
+                             [notifyGateways, lateCount] { notifyGateways(0, lateCount); });
+        events_.schedule(events_.now() + scenario_.listDelay, [this, notifyGateways, lateCount] {
+            notifyGateways(lateCount, static_cast<unsigned>(gateways_.size()));
         });
     }
 
@@ -390,9 +391,9 @@
     }
 
     void beginFault(const Fault &fault) {
-        const std::size_t initialNodes = scenario_.nodeCount;  // nodes that start later are spared
+        const std::size_t initialNodes = scenario_.nodeCount;  // nodes that start later are not affected
         switch (fault.kind) {
-            case FaultKind::counterRefuses: counter_.setMode(CounterMode::refusing); break;
+            case FaultKind::counterRefuses: counter_.setMode(CounterMode::rejecting); break;
             case FaultKind::counterSilent: counter_.setMode(CounterMode::silent); break;
             case FaultKind::counterSlow: counter_.setSlowdown(fault.magnitude); break;
             case FaultKind::counterEmpty: counter_.deleteCounts(); break;
@@ -435,7 +436,7 @@
                 slowConnectNodeCount_ = roundedPart(fault.fraction, nodes_.size());
                 maxConnectDelayMs_ = fault.magnitude;
                 break;
-            case FaultKind::answersSpoilt: spoiltAnswerFraction_ = fault.magnitude; break;
+            case FaultKind::answersSpoilt: invalidAnswerFraction_ = fault.magnitude; break;
             case FaultKind::trafficJump: trafficFactor_ = fault.magnitude; break;
         }
     }
@@ -467,7 +468,7 @@
                 break;
             case FaultKind::listsLate: lateListGatewayCount_ = 0; break;
             case FaultKind::connectsLate: maxConnectDelayMs_ = 0; break;
-            case FaultKind::answersSpoilt: spoiltAnswerFraction_ = 0; break;
+            case FaultKind::answersSpoilt: invalidAnswerFraction_ = 0; break;
             case FaultKind::trafficJump: trafficFactor_ = 1; break;
             case FaultKind::counterEmpty:
             case FaultKind::nodesReplaced: break;
@@ -506,7 +507,7 @@
     /// process: they don't wait for answers.
     void scheduleNextArrival() {
         const double meanGapMs = 1000 / (scenario_.callsPerSecond * trafficFactor_);
-        const Timestamp next = events_.now() + fromMilliseconds(random_.drawExponential(meanGapMs));
+        const Timestamp next = events_.now() + fromMs(random_.drawExponential(meanGapMs));
         if (std::max(next, start_) >= start_ + scenario_.duration) return;
         events_.schedule(std::max(next, start_), [this] {
             auto request = std::make_shared<ClientRequest>();
@@ -595,8 +596,7 @@
     /// and a random delay.
     void scheduleRetry(const std::shared_ptr<ClientRequest> &request, std::optional<Duration> retryAfter) {
         if (request->isProxied || request->callCount > scenario_.maxRetries) return;
-        const Duration delay =
-            retryAfter.value_or(milliseconds(100)) + fromMilliseconds(random_.drawExponential(50));
+        const Duration delay = retryAfter.value_or(milliseconds(100)) + fromMs(random_.drawExponential(50));
         events_.schedule(events_.now() + delay, [this, request] { sendCall(request); });
     }
 
@@ -611,7 +611,7 @@
         const Duration latency = events_.now() + scenario_.oneWayLatency - request.startedAt;
         if (isProxied && latency <= scenario_.settings.routes[request.route].latencyTarget) {
             ++report_.served;
-            report_.latenciesMs.push_back(toMilliseconds(latency));
+            report_.latenciesMs.push_back(toMs(latency));
             if (request.isWithinQuota) {
                 report_.routes[request.route].served += request.value;
                 report_.plans[customers_[request.customer].plan].served += request.value;
@@ -635,9 +635,8 @@
 
     void refill(Customer &customer) {
         const Plan &plan = scenario_.settings.plans[customer.plan];
-        customer.level =
-            std::min(plan.burst,
-                     customer.level + plan.rate * toMilliseconds(events_.now() - customer.refilledAt) / 1000);
+        customer.level = std::min(
+            plan.burst, customer.level + plan.rate * toMs(events_.now() - customer.refilledAt) / 1000);
         customer.refilledAt = events_.now();
     }
 
@@ -724,7 +723,7 @@
     std::uint64_t lastTryId_ = 0;
     // State of the faults trafficJump, answersSpoilt, listsLate and connectsLate.
     double trafficFactor_ = 1;
-    double spoiltAnswerFraction_ = 0;
+    double invalidAnswerFraction_ = 0;
     double extraListDelayMs_ = 0;
     double maxConnectDelayMs_ = 0;
     unsigned lateListGatewayCount_ = 0;
--- a/src/lab/model/fleet.hpp
+++ b/src/lab/model/fleet.hpp
@@ -27,7 +27,7 @@
     nodesFail,       ///< jobs end as errored after they ran; magnitude: fraction of the jobs
     nodesReplaced,   ///< nodes drain and cold ones start, one after the other over the fault's duration
     gatewaysKilled,  ///< gateways are killed, and start again at the end of the fault
-    listsLate,       ///< gateways are told late of changed nodes; magnitude: additional delay, ms
+    listsLate,       ///< changes of nodes reach gateways late; magnitude: additional delay, ms
     connectsLate,    ///< connecting to nodes takes time, uniform from 0; magnitude: its upper bound, ms
     answersSpoilt,   ///< answers of nodes arrive as errors; magnitude: fraction of the answers
     trafficJump      ///< more calls arrive; magnitude: factor
@@ -66,7 +66,7 @@
     unsigned nodeCount = 14;
     CounterSpec counter;
     Duration oneWayLatency = std::chrono::milliseconds(1);  ///< of every network connection
-    Duration listDelay = std::chrono::milliseconds(500);    ///< until gateways are told of a changed node
+    Duration listDelay = std::chrono::milliseconds(500);    ///< until a change of a node reaches the gateways
     std::vector<RouteTraffic> routes;                       ///< in the order of settings.routes
     std::vector<PlanTraffic> plans;                         ///< in the order of settings.plans
     double callsPerSecond = 200;                            ///< without clients' retries
@@ -102,10 +102,10 @@
     std::uint64_t counterRejected = 0;
     std::uint64_t events = 0;  ///< actions run by the event queue
     double unitsSent = 0;      ///< cost of the calls sent to nodes
-    /// Part of unitsSent that a reference limiter, which sees the calls of all gateways, would have held
-    /// back.
+    /// Part of unitsSent that a reference limiter, which counts the calls of all gateways, would have
+    /// rate-limited.
     double unitsBeyondQuota = 0;
-    /// Rate-limited calls for which that reference limiter had room.
+    /// Rate-limited calls that this reference limiter would have admitted.
     std::uint64_t rateLimitedWithinQuota = 0;
     double maxColdLoadFraction = 0;  ///< maximum over all nodes, see Node::maxColdLoadFraction
     std::vector<ValueTotals> routes;
--- a/src/lab/model/node.cpp
+++ b/src/lab/model/node.cpp
@@ -22,9 +22,7 @@
 
 double Node::capacityFraction(Timestamp now) const {
     const double warmth =
-        spec_.warmUp > Duration{}
-            ? std::clamp(toMilliseconds(now - startedAt_) / toMilliseconds(spec_.warmUp), 0.0, 1.0)
-            : 1;
+        spec_.warmUp > Duration{} ? std::clamp(toMs(now - startedAt_) / toMs(spec_.warmUp), 0.0, 1.0) : 1;
     return spec_.coldCapacityFraction + (1 - spec_.coldCapacityFraction) * warmth;
 }
 
@@ -44,7 +42,7 @@
         coldLoad_.pop_front();
     }
     const double maxLoadMs = spec_.coldOverloadFactor * capacityFraction(now) * spec_.cores * spec_.speed *
-                             toMilliseconds(spec_.coldOverloadWindow);
+                             toMs(spec_.coldOverloadWindow);
     maxColdLoadFraction_ = std::max(maxColdLoadFraction_, coldLoadMs_ / maxLoadMs);
     if (coldLoadMs_ > maxLoadMs) {
         crash();
@@ -54,7 +52,7 @@
 
 void Node::start(Timestamp now, const Job &job) {
     const double runMs = job.workMs / (spec_.speed * capacityFraction(now)) * slowdown_;
-    running_.push_back({now + fromMilliseconds(runMs), job, random_.drawUniform() < failureFraction_});
+    running_.push_back({now + fromMs(runMs), job, random_.drawUniform() < failureFraction_});
 }
 
 std::optional<JobResult> Node::submit(Timestamp now, const Job &job) {
--- a/src/lab/model/rules.cpp
+++ b/src/lab/model/rules.cpp
@@ -28,7 +28,7 @@
                                             Timestamp end) {
     std::vector<std::string> violations;
     std::map<std::uint64_t, CallState> calls;
-    // By gateway and node: when the gateway was first told that the node isn't ready.
+    // By gateway and node: when the gateway was first notified that the node isn't ready.
     std::map<std::pair<unsigned, std::uint64_t>, Timestamp> notReadySince;
     for (const TraceEvent &event : trace) {
         CallState &call = calls[event.call];
@@ -62,7 +62,7 @@
             case TraceEventKind::gatewayKilled:
                 for (auto &[id, state] : calls)
                     state.isExempt = state.isExempt || state.gateway == event.gateway;
-                // What the killed gateway was told doesn't bind the one that starts in its place.
+                // Notifications to the killed gateway don't count for the one that starts in its place.
                 std::erase_if(notReadySince,
                               [&](const auto &entry) { return entry.first.first == event.gateway; });
                 break;
--- a/src/lab/model/rules.hpp
+++ b/src/lab/model/rules.hpp
@@ -18,7 +18,7 @@
     tryEnded,      ///< the gateway's try is over
     callRun,       ///< a node ran the call, so that the call had its effect
     callAnswered,  ///< a gateway gave a call's final answer
-    nodeNotReady,  ///< a gateway was told that a node is draining or gone
+    nodeNotReady,  ///< a gateway was notified that a node is draining or gone
     gatewayKilled
 };
 
@@ -45,7 +45,7 @@
 /// - "answers": each call gets exactly one final answer, within the client's timeout plus answerSlack. Calls
 ///   of a killed gateway may stay unanswered or be answered late.
 /// - "effects": a non-idempotent call runs at most once.
-/// - "drains": no try is sent to a node later than drainGrace after the gateway was told that the node is
+/// - "drains": no try is sent to a node later than drainGrace after the gateway was notified that the node is
 ///   draining or gone.
 /// - "one try": the tries of a call don't overlap.
 std::vector<std::string> findRuleViolations(const std::vector<TraceEvent> &trace, const RuleLimits &limits,
--- a/src/lab/model/starvation.cpp
+++ b/src/lab/model/starvation.cpp
@@ -20,7 +20,7 @@
             const double missing = group.achievable[i] - group.served[i];
             if (missing > maxMissing) maxMissing = missing, worst = i;
         }
-        const double fromSeconds = toMilliseconds(interval) / 1000 * static_cast<double>(worst);
+        const double fromSeconds = toMs(interval) / 1000 * static_cast<double>(worst);
         char text[256];
         std::snprintf(text, sizeof text,
                       "%s: %.3f of what could have been served (least %.3f), worst from %g s on",
--- a/src/lab/model/starvation.hpp
+++ b/src/lab/model/starvation.hpp
@@ -20,6 +20,7 @@
                                      ///< all groups alike
 };
 
+/// Returns the sum of all elements.
 double sum(const std::vector<double> &values);
 
 /// Returns a line for each group that was served less than `minFraction` of what was achievable. The line
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -40,7 +40,7 @@
 
     /// A number of milliseconds.
     Duration milliseconds(const char *key, double defaultValue, double min, double max) {
-        return fromMilliseconds(number(key, defaultValue, min, max));
+        return fromMs(number(key, defaultValue, min, max));
     }
 
     /// A required text that isn't empty.
@@ -150,7 +150,7 @@
 void readFleet(TableReader reader, Scenario &scenario) {
     scenario.settings.gatewayCount = reader.wholeNumber("gateways", 3, 1, kMaxFleetCount);
     scenario.nodeCount = reader.wholeNumber("nodes", 14, 1, kMaxFleetCount);
-    scenario.duration = fromMilliseconds(1000 * reader.number("seconds", 20, 1, 3600));
+    scenario.duration = fromMs(1000 * reader.number("seconds", 20, 1, 3600));
     scenario.callsPerSecond = reader.number("calls_a_second", 200, 0.1, 20000);
     scenario.gatewaySubsetSize =
         reader.wholeNumber("set", std::min(3u, scenario.settings.gatewayCount), 1, kMaxFleetCount);
@@ -224,8 +224,8 @@
     for (TableReader &reader : readers) {
         Fault fault;
         fault.kind = reader.oneOf("kind", kFaultKinds);
-        fault.startsAt = fromMilliseconds(1000 * reader.number("at_s", 0, 0, 3600));
-        fault.duration = fromMilliseconds(1000 * reader.number("for_s", 1, 0, 3600));
+        fault.startsAt = fromMs(1000 * reader.number("at_s", 0, 0, 3600));
+        fault.duration = fromMs(1000 * reader.number("for_s", 1, 0, 3600));
         fault.fraction = reader.number("part", 0, 0, 1);
         const bool isDelay = fault.kind == FaultKind::listsLate || fault.kind == FaultKind::connectsLate;
         const bool isFraction = fault.kind == FaultKind::answersSpoilt || fault.kind == FaultKind::nodesFail;
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -58,14 +58,14 @@
 constexpr double kMaxTimeMs = 1e13;
 
 /// Throws FrameError if the value is infinite, not a number or beyond kMaxTimeMs.
-Duration durationFromMs(double milliseconds) {
+Duration fromMs(double milliseconds) {
     if (!std::isfinite(milliseconds) || std::abs(milliseconds) > kMaxTimeMs) {
         throw FrameError("a time is no sensible number (not finite or beyond 1e13 ms)");
     }
     return Duration{std::llround(milliseconds * 1000)};
 }
 
-double durationToMs(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
+double toMs(Duration duration) { return static_cast<double>(duration.count()) / 1000; }
 
 /// Reads the fields of a frame one after the other. Each function throws FrameError if the frame ends before
 /// the field does.
@@ -89,7 +89,7 @@
 
     double readFloat32() { return std::bit_cast<float>(readInteger<std::uint32_t>()); }
     double readFloat64() { return std::bit_cast<double>(readInteger<std::uint64_t>()); }
-    Duration readDuration() { return durationFromMs(readFloat64()); }
+    Duration readDuration() { return fromMs(readFloat64()); }
 
     std::string_view readBytes(std::size_t count) {
         if (count > bytes_.size() - position_) {
@@ -276,7 +276,7 @@
     }
 
     RecordWriter &writeDuration(Duration value) {
-        return writeInteger(std::bit_cast<std::uint64_t>(durationToMs(value)));
+        return writeInteger(std::bit_cast<std::uint64_t>(toMs(value)));
     }
     RecordWriter &writeFloat32(double value) {
         return writeInteger(std::bit_cast<std::uint32_t>(static_cast<float>(value)));
--- a/tests/test_lab.cpp
+++ b/tests/test_lab.cpp
@@ -1,3 +1,6 @@
+/// \file
+/// Tests of the laboratory: its models of nodes and the counter, the rule and starvation checks, scenario
+/// files, and whole simulated runs.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -55,10 +58,10 @@
     Timestamp now{};
     std::size_t rejectedCount = 0;
     for (std::uint64_t id = 1; id <= jobs; ++id) {
-        now += fromMilliseconds(random.drawExponential(meanMs / (utilization * cores)));
+        now += fromMs(random.drawExponential(meanMs / (utilization * cores)));
         for (auto next = node.nextCompletion(); next && *next <= now; next = node.nextCompletion())
             for (const JobResult &result : node.takeCompleted(*next))
-                latenciesMs.push_back(toMilliseconds(*next - arrivals[result.id.value]));
+                latenciesMs.push_back(toMs(*next - arrivals[result.id.value]));
         arrivals[id] = now;
         const double workMs = isExponential ? random.drawExponential(meanMs) : meanMs;
         rejectedCount += node.submit(now, {JobId{id}, id, workMs, false, {}}).has_value();
@@ -154,7 +157,7 @@
     CHECK(!counter.add(milliseconds(700), name, 0, milliseconds(500)).isAdded);  // the queue is full
     counter.setMode(CounterMode::silent);
     CHECK(!counter.add(milliseconds(900), name, 1, milliseconds(500)).isAnswered);
-    counter.setMode(CounterMode::refusing);
+    counter.setMode(CounterMode::rejecting);
     CHECK(!counter.add(milliseconds(900), name, 1, milliseconds(500)).isAdded);
     counter.setMode(CounterMode::serving);
     counter.deleteCounts();
@@ -271,7 +274,7 @@
 }
 
 TEST_CASE("no route or plan starves while 60% of the nodes are replaced and three network faults last") {
-    // The network faults are late worker lists, late connections and spoilt answers.
+    // The network faults are late worker lists, late connections and invalid answers.
     const std::string text = exampleScenario("join.toml");
     const Report report = simulate(readScenario(text, "f"), 1);
     CHECK(report.ruleViolations.empty());
