--- a/tests/test_core.cpp
+++ b/tests/test_core.cpp
@@ -1,3 +1,6 @@
+/// \file
+/// Tests of the protocol core: RESP2, HTTP, API calls, replies, lists of workers, start documents, resource
+/// limits and timers. No test needs sockets.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
--- a/tests/test_decision_engine.cpp
+++ b/tests/test_decision_engine.cpp
@@ -35,7 +35,7 @@
 void operator delete(void *memory, std::size_t) noexcept { operator delete(memory); }
 
 // Each call comes from a new customer, and every tenth call starts a worker that is gone by the next call.
-// State that were kept for any of them would grow without bound over a long run.
+// If state were kept for them, memory would grow without bound over a long run.
 TEST_CASE("memory does not grow with the number of past customers, calls and workers") {
     EngineHarness harness;
     harness.setWorkerCount(4);
@@ -60,7 +60,7 @@
         harness.now += milliseconds(7);
         if (id % 2 == 0) harness.handle(TimerFired{TimerToken{1}}).endCounterRequests(Outcome::answered, 0);
         harness.actions = {};
-        // After 70 s, which is longer than the engine keeps any of them.
+        // After 70 s, which is longer than the engine keeps state of any of them.
         if (id == 10000) allocationsBefore = liveAllocations;
     }
     CHECK(liveAllocations < allocationsBefore + allocationsBefore / 10);
@@ -199,10 +199,10 @@
     CHECK(harness.actionsOf<SendTry>().size() + harness.finalAnswerCount() == 1);
 }
 
-// The latency target covers the client's first request and its retries. A retry that succeeds after the
-// target uses up quota and earns next to nothing, and one that is rejected after the target costs money. So
-// three retries must fit into the target.
-TEST_CASE("a rate-limited client is told to retry within the latency target of its route") {
+// The latency target covers the client's first call and its retries. A retry that succeeds after the target
+// uses up quota and earns next to nothing, and one that is rate-limited after the target has a cost. So three
+// retries must fit into the target.
+TEST_CASE("a rate-limited answer lets the client retry three times within its route's latency target") {
     struct Row {
         const char *name;
         unsigned plan;
@@ -235,8 +235,8 @@
     }
 }
 
-// The later the client is rejected, the more it costs, so the engine doesn't keep the call until the client's
-// timeout.
+// The later the rate-limited answer, the more it costs the client, so the engine doesn't keep the call until
+// the client's timeout.
 TEST_CASE("a call that reached no worker is given up at once after half of its client's time") {
     for (const bool isFirstHalf : {true, false}) {
         EngineHarness harness;
@@ -644,8 +644,8 @@
     }
 }
 
-// A connection can fall silent while its worker goes on replying on others. An idempotent call is then sent
-// to the worker again; a non-idempotent one is answered as errored, so its try gets more time.
+// A connection can stop delivering while its worker goes on replying on others. An idempotent call is then
+// sent to the worker again; a non-idempotent one is answered as errored, so its try gets more time.
 TEST_CASE(
     "a try overtaken by later replies of its worker is cancelled, a non-idempotent one only after its "
     "latency target") {
@@ -690,17 +690,17 @@
 
 // One reset may concern a single connection only. A worker that has stopped refuses connections, or resets
 // several in a row.
-TEST_CASE("a refused connection or resets in a row exclude a worker for a growing time, one reset does not") {
+TEST_CASE("a failed connection or resets in a row eject a worker for a growing time, one reset does not") {
     struct Row {
         const char *name;
         std::vector<Outcome> outcomes;
-        Duration exclusion;  // how long no call is sent to the worker
+        Duration ejection;  // how long no call is sent to the worker
     };
     const Row rows[] = {
         {"one reset", {Outcome::reset}, {}},
         {"two resets in a row", {Outcome::reset, Outcome::reset}, milliseconds(500)},
         {"two resets with an answer between", {Outcome::reset, Outcome::answered, Outcome::reset}, {}},
-        {"one refused connection", {Outcome::connectFailed}, milliseconds(250)}};
+        {"one failed connection", {Outcome::connectFailed}, milliseconds(250)}};
     for (const Row &row : rows) {
         CAPTURE(row.name);
         EngineHarness harness;
@@ -715,11 +715,11 @@
             REQUIRE(elapsed < milliseconds(2000));
             harness.advance(milliseconds(10));
         }
-        CHECK((elapsed >= row.exclusion && elapsed <= row.exclusion + milliseconds(10)));
+        CHECK((elapsed >= row.ejection && elapsed <= row.ejection + milliseconds(10)));
     }
 }
 
-TEST_CASE("a worker excluded from non-idempotent calls is tried now and then, and returns once it answers") {
+TEST_CASE("a worker ejected from non-idempotent calls is tried now and then, and returns once it answers") {
     EngineHarness harness;
     harness.setWorkerCount(2);
     std::uint64_t id = 0;
@@ -794,7 +794,7 @@
 
 // The open tries of a gateway that crashed are never subtracted from the count at the counter. So the count's
 // name changes from time to time, and the count of the new name starts without them.
-TEST_CASE("open tries of a crashed gateway stop filling the cap when the count's name changes") {
+TEST_CASE("open tries of a crashed gateway count against the cap only until the count's name changes") {
     EngineHarness harness;
     harness.setWorkerCount(12);
     std::optional<CountName> firstName;
@@ -960,7 +960,7 @@
             harness.advance(milliseconds(10));
         }
         CHECK(tries >= 1);
-        // In three seconds. Excluding the worker for a fixed time alone would let through 20 tries.
+        // In three seconds. Ejecting the worker for a fixed time alone would let through 20 tries.
         CHECK(tries <= (gatewayCount == 2 ? 30u : 2u));
     }
 }
@@ -980,7 +980,7 @@
     CHECK(triesAfterOverload >= 500);
 }
 
-// The quota window is 20 ms long. Idle customers are dropped after two windows, but a call may wait for the
+// The quota window is 20 ms long. Idle customers are removed after two windows, but a call may wait for the
 // counter for up to twice its timeout of 50 ms, and can't be decided without its customer.
 TEST_CASE("a customer whose call waits for the counter is kept, however short its quota window") {
     EngineSettings settings = settingsForGateways(100);
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -1,3 +1,6 @@
+/// \file
+/// Tests of a whole gateway: it runs in a thread and is driven over real sockets by its clients, a worker,
+/// the counter and discovery, which the tests play.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
@@ -25,7 +28,7 @@
 /// The end of an HTTP request without a body.
 constexpr std::string_view kHttpHeaderEnd = "\r\n\r\n";
 
-/// One end of a TCP connection, or a listener, on loopback. Closed when the object goes.
+/// One end of a TCP connection, or a listener, on loopback. The destructor closes it.
 class Socket {
 public:
     explicit Socket(int handle = -1) : handle_(handle) {}
@@ -79,7 +82,7 @@
     void write(std::string_view text) const { ::send(handle_, text.data(), text.size(), MSG_NOSIGNAL); }
     /// Reads until the text contains `terminator`, the other side closes, or nothing comes for `maxWait`.
     /// Returns all that was read, also after `terminator`, with "<closed>" at its end if the other side has
-    /// closed or reset the connection. After a time-out it returns what came before it, maybe nothing.
+    /// closed or reset the connection. If `maxWait` passes, it returns what came before, maybe nothing.
     std::string read(std::string_view terminator = "\r\n", milliseconds maxWait = milliseconds(3000)) const {
         std::string text;
         while (text.find(terminator) == std::string::npos && waitReadable(maxWait)) {
@@ -132,7 +135,7 @@
 /// has at most three tries; the counter's timeout is 50 ms, the idle timeout of workers 600 ms.
 struct GatewayFixture {
     /// Starts the gateway and takes its first request to discovery, which stays unanswered. `maxSockets` is
-    /// the limit on file descriptors from which the gateway derives its limits on connections.
+    /// the start document's `limits.sockets`, from which the gateway derives its limits on connections.
     explicit GatewayFixture(int maxSockets = 1024) {
         const auto addressJson = [](int port) { return "\"127.0.0.1:" + std::to_string(port) + "\""; };
         // The port of a listener that is closed again is free for the gateway.
@@ -509,7 +512,7 @@
     CHECK(!counterConnection.waitReadable(milliseconds(100)));
 }
 
-TEST_CASE("a reload moves discovery and counter; requests under way end on their old connections, once") {
+TEST_CASE("a reload moves discovery and counter; requests in flight end on their old connections, once") {
     GatewayFixture fixture;
     const Socket client = fixture.makeReadyAndConnect();
     client.write(apiCall("status", 1000));
@@ -549,10 +552,10 @@
           std::string::npos);
 }
 
-// A signal handler suspends the gateway's thread for 700 ms, as if the machine had stood still. 100 ms after
-// that began, the reply to a call with a timeout of 500 ms arrives, and a new call with a timeout of 300 ms;
-// both timeouts have passed when the thread goes on.
-TEST_CASE("after the machine stood still, a reply that came in time counts and an expired call is not sent") {
+// A signal handler suspends the gateway's thread for 700 ms, as if the process had been suspended. 100 ms
+// after that began, the reply to a call with a timeout of 500 ms arrives, and a new call with a timeout of
+// 300 ms; both timeouts have passed when the thread goes on.
+TEST_CASE("after a suspension, a reply that came in time counts and an expired call is not sent") {
     GatewayFixture fixture;
     const Socket client = fixture.makeReadyAndConnect();
     client.write(apiCall("dispatch", 500));
@@ -589,13 +592,13 @@
         CHECK(fixture.discoveryConnection.read(kHttpHeaderEnd).starts_with(row.nextRequest));
         const Socket client = fixture.makeReadyAndConnect();
         client.write(apiCall("status", 1000));
-        // The list from before the start is still in use.
+        // The cached list that the gateway started with is still in use.
         CHECK(fixture.workerListener.accept().isOpen());
     }
 }
 
 // The gateway stops reading a connection on which too many commands wait for an answer. Commands that are in
-// its buffer by then have to be taken up when reading goes on, although no further bytes arrive.
+// its buffer by then have to be processed when reading goes on, although no further bytes arrive.
 TEST_CASE("commands in the buffer of a connection that was not read for a while are all answered") {
     GatewayFixture fixture;
     const Socket client = fixture.makeReadyAndConnect();
@@ -683,7 +686,7 @@
     CHECK(pingedClient.read(kUntilClosed) == "+PONG\r\n<closed>");
 }
 
-TEST_CASE("a call with the request id of an open call gets an error, and the open call is not affected") {
+TEST_CASE("a call with the request id of a pending call gets an error, and that call is not affected") {
     GatewayFixture fixture;
     const Socket client = fixture.makeReadyAndConnect();
     const Socket otherClient = fixture.connectClient();
@@ -718,7 +721,7 @@
     return answerWrittenCall(fixture, workerConnection, client);
 }
 
-// Clients that never send a call could otherwise use up the file descriptors. With 96 sockets the gateway
+// Clients that never send a call could otherwise use up the sockets. With 96 sockets the gateway
 // takes at most 39 client connections, at most 13 of them from clients that have sent no call yet.
 TEST_CASE("many clients that send nothing, or PING only, take no connection from clients that send calls") {
     for (const std::string sentText : {"", "*1\r\n$4\r\nPING\r\n"}) {
@@ -734,7 +737,7 @@
         for (int remaining = 200; remaining > 0; --remaining) {
             otherClients.push_back(fixture.connectClient());
             otherClients.back().write(sentText);
-            // A client that connects in the middle of the others has its call answered as well.
+            // A client that connects among the others has its call answered as well.
             if (remaining != 100) continue;
             callingClients.push_back(fixture.connectClient());
             callingClients.back().write(apiCall("status", 1000));
@@ -749,10 +752,11 @@
     }
 }
 
-// Clients that use each connection for one call and keep it open could otherwise use up the file descriptors.
+// Clients that use each connection for one call and keep it open could otherwise use up the sockets.
 // With 96 sockets the gateway keeps at most 24 connections that have sent a call, while some of them are
-// idle. One of the 24 here has an open call, so 23 of the 40 idle ones stay.
-TEST_CASE("of too many clients that have sent calls the one idle longest is closed, none with an open call") {
+// idle. One of the 24 here has a pending call, so 23 of the 40 idle ones stay.
+TEST_CASE(
+    "of too many clients that have sent calls the one idle longest is closed, none with a pending call") {
     GatewayFixture fixture(96);
     const Socket busyClient = fixture.makeReadyAndConnect();
     busyClient.write(apiCall("dispatch", 1000));
@@ -812,7 +816,7 @@
     CHECK(client.read(kUntilClosed) == "-ERR failed\r\n<closed>");
 }
 
-TEST_CASE("a planned stop answers open calls, serves late clients and ends although a client stays") {
+TEST_CASE("a planned stop answers pending calls, serves late clients and ends although a client stays") {
     GatewayFixture fixture;
     const Socket idleClient = fixture.makeReadyAndConnect();
     const Socket busyClient = fixture.connectClient();
--- a/tests/test_wire.cpp
+++ b/tests/test_wire.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// Tests of the simulator adapter's frames and of the settings that it reads.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
