--- a/src/lab/model/fleet.cpp
+++ b/src/lab/model/fleet.cpp
@@ -551,7 +551,7 @@
     }
 
     /// Sends a request as a new call to a gateway of the customer's subset. Does nothing if too little of the
-    /// client's timeout is left for the way to the gateway and back.
+    /// client's timeout is left for the network latency to the gateway and back.
     void sendCall(const std::shared_ptr<ClientRequest> &request) {
         const Customer &customer = customers_[request->customer];
         const unsigned gateway =
--- a/src/net/client_connections.cpp
+++ b/src/net/client_connections.cpp
@@ -223,7 +223,7 @@
     return true;
 }
 
-/// Runs periodically.
+/// Runs periodically: closes the connections for which isOverdue() is true.
 void ClientConnections::closeOverdueConnections() {
     const Timestamp now = context_.clock.now();
     context_.timers.schedule(now + kCleanupInterval, [this] { closeOverdueConnections(); });
--- a/src/net/core/worker_reply.cpp
+++ b/src/net/core/worker_reply.cpp
@@ -6,6 +6,7 @@
 namespace arrowstile {
 namespace {
 
+/// Figures above this are taken for invalid.
 constexpr double kMaxFigure = 1e9;
 constexpr std::size_t kMaxBytesBesideValue = 8 * 1024;  // RESP headers, usage figures and load report
 constexpr std::size_t kReplyItemCount = 3;
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -171,7 +171,7 @@
     for (Connection *connection : std::exchange(unflushedConnections_, {})) connection->tcp->flush();
 }
 
-/// Runs periodically.
+/// Runs periodically: closes connections that were idle for longer than kIdleTimeout.
 void CounterClient::closeIdleConnections() {
     const Timestamp now = context_.clock.now();
     context_.timers.schedule(now + kCleanupInterval, [this] { closeIdleConnections(); });
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kMaxListBytes = 16 * 1024 * 1024;
 /// How long discovery may hold a watch request until something changes.
 constexpr Duration kWatchTimeout = milliseconds(10000);
-/// The first watch request asks for an answer at once, since the gateway becomes ready with it.
+/// The first watch request asks for a response at once, since the gateway becomes ready with it.
 constexpr Duration kFirstWatchTimeout = milliseconds(1);
 /// How much later than kWatchTimeout the response to a watch request may arrive.
 constexpr Duration kWatchTimeoutMargin = milliseconds(1500);
--- a/src/net/worker_connections.hpp
+++ b/src/net/worker_connections.hpp
@@ -37,7 +37,8 @@
     void sendTry(const SendTry &action, TryNumber tryNumber, const ApiCall &call);
     /// Gives up a try: closes its connection and reports the try as cancelled. Does nothing if it has ended.
     void cancelTry(CallId call, TryNumber tryNumber);
-    /// Asks a worker for its load, if the settings say that workers report it so, or else whether it replies.
+    /// Asks a worker for its load, if the settings say that workers report it in their replies to probes, or
+    /// else whether it replies.
     void sendProbe(WorkerId worker);
     /// Closes all connections to a worker on which no reply is awaited.
     void closeIdleConnections(WorkerId worker);
